--- a/mimosabench/src/policy/router.rs
+++ b/mimosabench/src/policy/router.rs
@@ -11,7 +11,7 @@
 use mimosashift::pipeline::{Context, Replacement, Request, Scope};
 use mimosashift::resource::{Name, Team};
 use mimosashift::route::affinity::{self, Affinity};
-use mimosashift::route::{Ask, Chain, Choice, Refusal, Settings, Sources, Stage, Table};
+use mimosashift::route::{Chain, Choice, Refusal, RouteRequest, Settings, Sources, Stage, Table};
 use mimosashift::time::Instant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -199,7 +199,7 @@
         kept: &[Stage],
         now: Instant,
     ) -> Result<Choice, Refusal> {
-        let ask = Ask {
+        let ask = RouteRequest {
             pipeline: &fleet.pipeline,
             version: VERSION,
             prompt_tokens: request.prompt.len() as u32,
--- a/mimosabench/src/slopes/choice.rs
+++ b/mimosabench/src/slopes/choice.rs
@@ -8,7 +8,7 @@
 use mimosashift::health::{self, Registry};
 use mimosashift::resource::Snapshot;
 use mimosashift::route::affinity::{self, Affinity};
-use mimosashift::route::{Ask, Distances, Settings, Sources, Table};
+use mimosashift::route::{Distances, RouteRequest, Settings, Sources, Table};
 use mimosashift::time::Instant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -79,7 +79,7 @@
     let affinity = Affinity::default();
     let sources = Sources { health: &registry, affinity: &affinity };
     let model = fleet::name("model");
-    let ask = Ask {
+    let ask = RouteRequest {
         pipeline: &model,
         version: 1,
         prompt_tokens: 512,
--- a/mimosashift/benches/route.rs
+++ b/mimosashift/benches/route.rs
@@ -9,7 +9,7 @@
 use mimosashift::health::{self, Registry};
 use mimosashift::resource::{Kind, Name, Resource, Snapshot, Spec};
 use mimosashift::route::affinity::Affinity;
-use mimosashift::route::{Ask, Distances, Settings, Sources, Table};
+use mimosashift::route::{Distances, RouteRequest, Settings, Sources, Table};
 use mimosashift::time::Instant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -66,7 +66,7 @@
         let affinity = Affinity::default();
         let sources = Sources { health: &registry, affinity: &affinity };
         let model = name("model");
-        let ask = Ask {
+        let ask = RouteRequest {
             pipeline: &model,
             version: 1,
             prompt_tokens: 512,
--- a/mimosashift/src/node/operators/queries.rs
+++ b/mimosashift/src/node/operators/queries.rs
@@ -18,7 +18,7 @@
 use crate::node::Node;
 use crate::node::installed::Installed;
 use crate::resource::{Name, Resource};
-use crate::route::{Ask, Candidate, Refusal, Sources};
+use crate::route::{Candidate, Refusal, RouteRequest, Sources};
 
 /// Entries of the audit trail unless a limit is given.
 const DEFAULT_AUDIT_LIMIT: usize = 100;
@@ -103,7 +103,7 @@
         .route(model)
         .ok_or_else(|| not_found(format!("no route has model {model:?}")))?;
     let version = installed.snapshot().pipeline(&route.pipeline).map_or(0, |p| p.version);
-    let ask = Ask {
+    let ask = RouteRequest {
         pipeline: &route.pipeline,
         version,
         prompt_tokens: number(request, "prompt_tokens")?.unwrap_or(DEFAULT_PROMPT_TOKENS),
--- a/mimosashift/src/node/relay.rs
+++ b/mimosashift/src/node/relay.rs
@@ -22,7 +22,7 @@
     Action, Actions, Context, Limits, Machine, Outcome, Replacement, Request, Scope,
 };
 use crate::resource::Name;
-use crate::route::{Ask, Chain, Choice, Refusal, Sources, Stage};
+use crate::route::{Chain, Choice, Refusal, RouteRequest, Sources, Stage};
 use crate::time::Instant;
 
 /// Bytes of headers around a step's body, for the estimate of link time.
@@ -99,7 +99,7 @@
 struct Relay<'a> {
     node: &'a Node,
     installed: &'a Installed,
-    ask: Ask<'a>,
+    ask: RouteRequest<'a>,
     rng: Pcg64Mcg,
     chain: Chain,
     /// Endpoints with work of this request, and since when.
@@ -226,8 +226,8 @@
                 old.stages().iter().filter(stays).cloned().collect()
             }
         };
-        let ask = Ask { avoid, kept: &kept, ..self.ask };
-        let ask_whole = Ask { avoid, ..self.ask };
+        let ask = RouteRequest { avoid, kept: &kept, ..self.ask };
+        let ask_whole = RouteRequest { avoid, ..self.ask };
         let chain = choose(self.node, self.installed, &ask, &mut self.rng)
             .or_else(|_| choose(self.node, self.installed, &ask_whole, &mut self.rng))
             .ok()?
@@ -288,8 +288,8 @@
     }
 }
 
-fn ask<'a>(job: &Job<'a>, adapter: Option<&'a Name>) -> Ask<'a> {
-    Ask {
+fn ask<'a>(job: &Job<'a>, adapter: Option<&'a Name>) -> RouteRequest<'a> {
+    RouteRequest {
         pipeline: job.pipeline,
         version: job.version,
         prompt_tokens: job.request.prompt.len() as u32,
@@ -305,7 +305,7 @@
 fn choose(
     node: &Node,
     installed: &Installed,
-    ask: &Ask<'_>,
+    ask: &RouteRequest<'_>,
     rng: &mut Pcg64Mcg,
 ) -> Result<Choice, Refusal> {
     let now = node.clock.now();
--- a/mimosashift/src/route/choose.rs
+++ b/mimosashift/src/route/choose.rs
@@ -11,7 +11,7 @@
 use super::sample::{self, Candidate, Candidates};
 use super::search::{Leg, Search};
 use super::table::{Holder, Model, Segment};
-use super::{Ask, Chain, Refusal, Stage, Table, explain};
+use super::{Chain, Refusal, RouteRequest, Stage, Table, explain};
 use crate::health::{Standing, View};
 use crate::resource::{Layers, Name};
 use crate::time::Instant;
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub(super) struct Request<'a, V> {
     pub(super) table: &'a Table,
-    pub(super) ask: &'a Ask<'a>,
+    pub(super) ask: &'a RouteRequest<'a>,
     health: &'a V,
     work: Work,
     now: Instant,
@@ -70,7 +70,7 @@
     /// candidates for each layer boundary.
     pub fn choose<V: View>(
         &self,
-        ask: &Ask<'_>,
+        ask: &RouteRequest<'_>,
         sources: &Sources<'_, V>,
         now: Instant,
         rng: &mut Pcg64Mcg,
@@ -98,7 +98,7 @@
 
     pub(super) fn request<'a, V: View>(
         &'a self,
-        ask: &'a Ask<'a>,
+        ask: &'a RouteRequest<'a>,
         model: &Model,
         health: &'a V,
         cached: f32,
@@ -112,7 +112,7 @@
     /// saves work only where every stage has it.
     fn cached<V: View>(
         &self,
-        ask: &Ask<'_>,
+        ask: &RouteRequest<'_>,
         model: &Model,
         sources: &Sources<'_, V>,
         now: Instant,
@@ -134,7 +134,7 @@
         None
     }
 
-    fn chain(&self, ask: &Ask<'_>, model: &Model, legs: &[Leg]) -> Chain {
+    fn chain(&self, ask: &RouteRequest<'_>, model: &Model, legs: &[Leg]) -> Chain {
         let name = |leg: &Leg| match leg.by {
             Some(candidate) => self.entries[candidate.holder.entry as usize].name.clone(),
             None => kept_at(ask, leg.layers.start())
@@ -278,7 +278,7 @@
     }
 }
 
-fn check_kept(ask: &Ask<'_>, model: &Model) -> Result<(), Refusal> {
+fn check_kept(ask: &RouteRequest<'_>, model: &Model) -> Result<(), Refusal> {
     let mut free = 0;
     for stage in ask.kept {
         if stage.layers.start() < free || stage.layers.end() > model.layers {
@@ -289,12 +289,12 @@
     Ok(())
 }
 
-fn kept_at<'a>(ask: &Ask<'a>, layer: u16) -> Option<&'a Stage> {
+fn kept_at<'a>(ask: &RouteRequest<'a>, layer: u16) -> Option<&'a Stage> {
     ask.kept.iter().find(|stage| stage.layers.start() == layer)
 }
 
 /// Start of the first kept stage after `layer`.
-fn free_until(ask: &Ask<'_>, layer: u16) -> u16 {
+fn free_until(ask: &RouteRequest<'_>, layer: u16) -> u16 {
     let starts = ask.kept.iter().map(|stage| stage.layers.start());
     starts.filter(|&start| start > layer).min().unwrap_or(u16::MAX)
 }
--- a/mimosashift/src/route/cost.rs
+++ b/mimosashift/src/route/cost.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Ask, Settings};
+use super::{RouteRequest, Settings};
 use crate::health::{Condition, Standing, model};
 use crate::resource::{Engine, Snapshot};
 
@@ -119,7 +119,7 @@
 
 impl Work {
     /// Work of `ask` when the engines have `cached` tokens of its prompt.
-    pub(super) fn new(ask: &Ask<'_>, layers: u16, hidden_bytes: u32, cached: f32) -> Self {
+    pub(super) fn new(ask: &RouteRequest<'_>, layers: u16, hidden_bytes: u32, cached: f32) -> Self {
         let prompt = (ask.prompt_tokens as f32 - cached).max(1.0);
         let decode_steps = ask.output_tokens.saturating_sub(1) as f32;
         let token_bytes = 2.0 * hidden_bytes as f32;
--- a/mimosashift/src/route/explain.rs
+++ b/mimosashift/src/route/explain.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 
 use super::cost::Estimate;
-use super::{Ask, Refusal, Sources, Table};
+use super::{Refusal, RouteRequest, Sources, Table};
 use crate::health::{Condition, View};
 use crate::resource::{Layers, Name};
 use crate::time::Instant;
@@ -29,7 +29,7 @@
     /// first. Unlike a choice it looks at every holder and rolls no dice.
     pub fn explain<V: View>(
         &self,
-        ask: &Ask<'_>,
+        ask: &RouteRequest<'_>,
         sources: &Sources<'_, V>,
         now: Instant,
         limit: usize,
--- a/mimosashift/src/route/mod.rs
+++ b/mimosashift/src/route/mod.rs
@@ -60,7 +60,7 @@
 
 /// A request as the choice of its chain sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct RouteRequest<'a> {
     /// The model.
     pub pipeline: &'a Name,
     /// The version that every stage must run.
--- a/mimosashift/src/route/naive.rs
+++ b/mimosashift/src/route/naive.rs
@@ -4,7 +4,7 @@
 //! endpoint, so it shares only the cost of one stage with [`super::Table`].
 
 use super::cost::{Speed, Work};
-use super::{Ask, Chain, Distances, Settings, Stage};
+use super::{Chain, Distances, RouteRequest, Settings, Stage};
 use crate::health::View;
 use crate::resource::{Layers, Name, Role, Snapshot};
 use crate::time::Instant;
@@ -30,7 +30,7 @@
     snapshot: &Snapshot,
     distances: &Distances,
     settings: &Settings,
-    ask: &Ask<'_>,
+    ask: &RouteRequest<'_>,
     health: &V,
     now: Instant,
 ) -> Option<(Chain, f64)> {
--- a/mimosashift/src/route/table.rs
+++ b/mimosashift/src/route/table.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::cost::{Speed, Work};
-use super::{Ask, Distances, Refusal, Settings};
+use super::{Distances, Refusal, RouteRequest, Settings};
 use crate::resource::{Layers, Name, Role, Snapshot};
 
 /// A reference request; holders are ranked by what they add to it when idle.
@@ -94,7 +94,7 @@
     }
 
     /// The model that `ask` names, if the ask is one that it can answer.
-    pub(super) fn model(&self, ask: &Ask<'_>) -> Result<&Model, Refusal> {
+    pub(super) fn model(&self, ask: &RouteRequest<'_>) -> Result<&Model, Refusal> {
         let pipeline = || ask.pipeline.clone();
         let versions = self
             .models
@@ -148,7 +148,7 @@
     own: &Name,
     model: &Model,
 ) -> Vec<(u32, Layers)> {
-    let ask = Ask {
+    let ask = RouteRequest {
         pipeline: own,
         version: 0,
         prompt_tokens: REFERENCE_PROMPT_TOKENS,
--- a/mimosashift/tests/route.rs
+++ b/mimosashift/tests/route.rs
@@ -7,7 +7,7 @@
 use mimosashift::resource::{Kind, Layers, Name, Resource, Snapshot, Spec};
 use mimosashift::route::affinity::{self, Affinity, Event};
 use mimosashift::route::{
-    Ask, Choice, Distances, Prefix, Refusal, Settings, Sources, Stage, Table, naive,
+    Choice, Distances, Prefix, Refusal, RouteRequest, Settings, Sources, Stage, Table, naive,
 };
 use mimosashift::time::Instant;
 use proptest::prelude::*;
@@ -54,8 +54,8 @@
     Resource { name: name(key), revision: 1, spec }
 }
 
-fn ask<'a>(pipeline: &'a Name) -> Ask<'a> {
-    Ask {
+fn ask<'a>(pipeline: &'a Name) -> RouteRequest<'a> {
+    RouteRequest {
         pipeline,
         version: 1,
         prompt_tokens: 512,
@@ -125,13 +125,13 @@
         Snapshot::new(1, self.resources.iter().cloned())
     }
 
-    fn choose(&self, ask: &Ask<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
+    fn choose(&self, ask: &RouteRequest<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
         self.choose_many(ask, 1, rng).remove(0)
     }
 
     fn choose_many(
         &self,
-        ask: &Ask<'_>,
+        ask: &RouteRequest<'_>,
         count: usize,
         rng: &mut Pcg64Mcg,
     ) -> Vec<Result<Choice, Refusal>> {
@@ -140,7 +140,7 @@
         (0..count).map(|_| table.choose(ask, &sources, NOW, rng)).collect()
     }
 
-    fn naive(&self, ask: &Ask<'_>) -> Option<f64> {
+    fn naive(&self, ask: &RouteRequest<'_>) -> Option<f64> {
         let snapshot = self.snapshot();
         let best = naive::choose(&snapshot, &distances(), &self.settings, ask, &self.health, NOW);
         best.map(|(_, cost)| cost)
@@ -165,9 +165,9 @@
     Distances::new(name("d0"), Duration::from_micros(500), far)
 }
 
-fn random_ask<'a>(pipeline: &'a Name, rng: &mut Pcg64Mcg) -> Ask<'a> {
+fn random_ask<'a>(pipeline: &'a Name, rng: &mut Pcg64Mcg) -> RouteRequest<'a> {
     let (prompt_tokens, output_tokens) = (rng.random_range(1..4_000), rng.random_range(1..500));
-    Ask { prompt_tokens, output_tokens, ..ask(pipeline) }
+    RouteRequest { prompt_tokens, output_tokens, ..ask(pipeline) }
 }
 
 /// Prints and bounds the ratios of estimated to best completion time.
@@ -359,7 +359,7 @@
     let (pipeline, mut rng) = (name("p"), rng(1));
     let kept = [stage("gone", 0, 3), stage("c1", 8, 12)];
     let avoid = [name("b0")];
-    let ask = Ask { kept: &kept, avoid: &avoid, ..ask(&pipeline) };
+    let ask = RouteRequest { kept: &kept, avoid: &avoid, ..ask(&pipeline) };
     let choice = three_stages().choose(&ask, &mut rng).unwrap();
     let expected = [kept[0].clone(), stage("a0", 3, 4), stage("b1", 4, 8), kept[1].clone()];
     assert_eq!(choice.chain.stages(), expected);
@@ -371,7 +371,7 @@
     let mut world = World::new(12);
     world.engine("wide", 0, (0, 12), 10, 10);
     let kept = [stage("b0", 4, 8)];
-    let choice = world.choose(&Ask { kept: &kept, ..ask(&pipeline) }, &mut rng).unwrap();
+    let choice = world.choose(&RouteRequest { kept: &kept, ..ask(&pipeline) }, &mut rng).unwrap();
     let expected = [stage("wide", 0, 4), kept[0].clone(), stage("wide", 8, 12)];
     assert_eq!(choice.chain.stages(), expected);
 }
@@ -383,25 +383,29 @@
     let avoid = [name("b1"), name("c0"), name("c1")];
     let leaving = Condition { standing: Standing::Leaving, ..Condition::IDLE };
     world.health.0.insert(name("b0"), leaving);
-    let refusal = world.choose(&Ask { avoid: &avoid, ..ask(&pipeline) }, &mut rng).unwrap_err();
+    let refusal =
+        world.choose(&RouteRequest { avoid: &avoid, ..ask(&pipeline) }, &mut rng).unwrap_err();
     let layers = Layers::try_from((4, 12)).unwrap();
     assert_eq!(refusal, Refusal::NoHolder { pipeline: pipeline.clone(), version: 1, layers });
 }
 
-#[test_case(|_, ask| Ask { version: 2, ..ask }, "version 2"; "version")]
-#[test_case(|_, ask| Ask { adapter: Some(Box::leak(Box::new(name("other")))), ..ask }, "no adapter \"other\""; "adapter")]
-#[test_case(|_, ask| Ask { pipeline: Box::leak(Box::new(name("q"))), ..ask }, "\"q\" does not exist"; "pipeline")]
-#[test_case(|_, ask| Ask { avoid_domains: Box::leak(Box::new([name("d0"), name("d1")])), ..ask }, "no live endpoint holds layers 0..12"; "domains")]
-#[test_case(|_, ask| Ask { kept: Box::leak(Box::new([stage("x", 4, 13)])), ..ask }, "stage to keep with layers 4..13"; "kept")]
+#[test_case(|_, ask| RouteRequest { version: 2, ..ask }, "version 2"; "version")]
+#[test_case(|_, ask| RouteRequest { adapter: Some(Box::leak(Box::new(name("other")))), ..ask }, "no adapter \"other\""; "adapter")]
+#[test_case(|_, ask| RouteRequest { pipeline: Box::leak(Box::new(name("q"))), ..ask }, "\"q\" does not exist"; "pipeline")]
+#[test_case(|_, ask| RouteRequest { avoid_domains: Box::leak(Box::new([name("d0"), name("d1")])), ..ask }, "no live endpoint holds layers 0..12"; "domains")]
+#[test_case(|_, ask| RouteRequest { kept: Box::leak(Box::new([stage("x", 4, 13)])), ..ask }, "stage to keep with layers 4..13"; "kept")]
 #[test_case(full, "overloaded"; "overloaded")]
-fn refusal_says_why(change: fn(&mut World, Ask<'static>) -> Ask<'static>, message: &str) {
+fn refusal_says_why(
+    change: fn(&mut World, RouteRequest<'static>) -> RouteRequest<'static>,
+    message: &str,
+) {
     let mut world = three_stages();
     let ask = change(&mut world, ask(Box::leak(Box::new(name("p")))));
     let refusal = world.choose(&ask, &mut rng(1)).unwrap_err().to_string();
     assert!(refusal.contains(message), "{refusal}");
 }
 
-fn full(world: &mut World, ask: Ask<'static>) -> Ask<'static> {
+fn full(world: &mut World, ask: RouteRequest<'static>) -> RouteRequest<'static> {
     let overloaded = Condition { overloaded: true, ..Condition::IDLE };
     world.health.0 = ["c0", "c1"].map(|key| (name(key), overloaded)).into();
     ask
@@ -413,7 +417,7 @@
     let table = Table::new(&world.snapshot(), &distances(), world.settings);
     let sources = Sources { health: &world.health, affinity: &world.affinity };
     let avoid = [name("a0")];
-    let ask = Ask { avoid: &avoid, ..ask(&pipeline) };
+    let ask = RouteRequest { avoid: &avoid, ..ask(&pipeline) };
     let lines = table.explain(&ask, &sources, NOW, 10).unwrap();
     let names: Vec<&str> = lines.iter().map(|line| line.endpoint.as_str()).collect();
     assert_eq!(names, ["a1", "a0", "b0", "b1", "c0", "c1"]);
@@ -431,7 +435,7 @@
         world.affinity.event(&name(holder), 1, Event::Stored(&[1, 2]), NOW);
         world.health.0.insert(name(holder), Condition { sequences, ..Condition::IDLE });
     }
-    let ask = Ask { prefixes: &PREFIXES, output_tokens: 2, ..ask(&pipeline) };
+    let ask = RouteRequest { prefixes: &PREFIXES, output_tokens: 2, ..ask(&pipeline) };
     let choice = world.choose(&ask, &mut rng(1)).unwrap();
     assert_eq!(choice.cached_tokens, if attracted { 400 } else { 0 });
     assert_eq!(choice.chain.stages()[0].endpoint, name(if attracted { "a1" } else { "a0" }));
@@ -443,7 +447,8 @@
     let prefixes: Vec<Prefix> = (1..200).map(|n| Prefix { hash: n, tokens: n as u32 }).collect();
     let hashes: Vec<u64> = prefixes.iter().map(|prefix| prefix.hash).collect();
     world.affinity.event(&name("a1"), 1, Event::Stored(&hashes), NOW);
-    let choice = world.choose(&Ask { prefixes: &prefixes, ..ask(&pipeline) }, &mut rng(1)).unwrap();
+    let choice =
+        world.choose(&RouteRequest { prefixes: &prefixes, ..ask(&pipeline) }, &mut rng(1)).unwrap();
     assert!(choice.stats.evaluations <= 6 + 4, "{:?}", choice.stats);
 }
 
@@ -514,7 +519,7 @@
         world.settings.candidates = candidates;
         world.health.0 = (1..).map(|place| name(&format!("e{place}"))).zip(conditions).collect();
         let avoid = [name(&format!("e{avoided}"))];
-        let ask = Ask { avoid: &avoid, ..ask(&pipeline) };
+        let ask = RouteRequest { avoid: &avoid, ..ask(&pipeline) };
         let best = world.naive(&ask);
         let choice = world.choose(&ask, &mut rng);
         prop_assert_eq!(choice.is_ok(), best.is_some(), "{:?} {:?}", choice, best);
