--- a/mimosashift/src/route/choose.rs
+++ b/mimosashift/src/route/choose.rs
@@ -282,7 +282,10 @@
     let mut free = 0;
     for stage in ask.kept {
         if stage.layers.start() < free || stage.layers.end() > model.layers {
-            return Err(Refusal::Kept { pipeline: ask.pipeline.clone(), layers: stage.layers });
+            return Err(Refusal::InvalidKeptStages {
+                pipeline: ask.pipeline.clone(),
+                layers: stage.layers,
+            });
         }
         free = stage.layers.end();
     }
--- a/mimosashift/src/route/mod.rs
+++ b/mimosashift/src/route/mod.rs
@@ -52,7 +52,7 @@
             display("every endpoint that holds layers {} of pipeline {:?} is overloaded", layers, pipeline.as_str())
         }
         /// The stages to keep overlap, are out of order or exceed the model.
-        Kept { pipeline: Name, layers: Layers } {
+        InvalidKeptStages { pipeline: Name, layers: Layers } {
             display("stage to keep with layers {} does not fit pipeline {:?}", layers, pipeline.as_str())
         }
     }
