--- a/mimosashift/src/route/choose.rs
+++ b/mimosashift/src/route/choose.rs
@@ -167,7 +167,7 @@
         if condition.weight < 1.0 && rng.random::<f32>() >= condition.weight {
             estimate = estimate.returning();
         }
-        let spread = 1.0 + rng.random::<f64>() * settings.spread;
+        let spread = 1.0 + rng.random::<f64>() * settings.cost_jitter;
         Some(Candidate { holder, estimate, spread })
     }
 
--- a/mimosashift/src/route/mod.rs
+++ b/mimosashift/src/route/mod.rs
@@ -98,7 +98,7 @@
     pub candidates: usize,
     /// Costs that differ by less than this share count as equal, so that
     /// routers with the same reports do not all choose the same endpoint.
-    pub spread: f64,
+    pub cost_jitter: f64,
     /// Share of an endpoint's slots counted as taken by work that lagging
     /// reports do not show yet, 0 to 1.
     pub reserved_share: f64,
@@ -110,7 +110,7 @@
     fn default() -> Self {
         Self {
             candidates: 20,
-            spread: 0.02,
+            cost_jitter: 0.02,
             reserved_share: 0.25,
             max_wait: Duration::from_secs(30),
         }
--- a/mimosashift/tests/route.rs
+++ b/mimosashift/tests/route.rs
@@ -148,7 +148,7 @@
 
     /// The same world, searched without sampling or random spread.
     fn exact(mut self) -> Self {
-        self.settings = Settings { candidates: usize::MAX, spread: 0.0, ..self.settings };
+        self.settings = Settings { candidates: usize::MAX, cost_jitter: 0.0, ..self.settings };
         self
     }
 
