--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -11,7 +11,7 @@
 use mimosashift::event::Event;
 use mimosashift::exchange::{Order, Ordered, Report};
 use mimosashift::fleet::{Hop, Member};
-use mimosashift::layout::{self, Move, Place};
+use mimosashift::layout::{self, EndpointState, Move};
 use mimosashift::meter::PlatformCall;
 use mimosashift::order::lease::{Lease, Settings, TABLE};
 use mimosashift::peer::STORE_LOST;
@@ -265,7 +265,7 @@
         let place = |member: &Member| {
             let endpoint = &member.endpoint;
             let pending = self.pending.get(&endpoint.id);
-            Some(Place {
+            Some(EndpointState {
                 id: endpoint.id.clone(),
                 zone: endpoint.zone.clone(),
                 card: *engine.card(endpoint)?,
--- a/mimosashift/src/layout/mod.rs
+++ b/mimosashift/src/layout/mod.rs
@@ -53,7 +53,7 @@
 
 /// An endpoint to plan for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct EndpointState {
     /// The endpoint.
     pub id: Arc<str>,
     /// Its zone.
@@ -78,7 +78,7 @@
 }
 
 /// The orders that bring the places nearer to a whole copy in each pool.
-pub fn plan(engine: &Engine, places: &[Place]) -> Vec<Move> {
+pub fn plan(engine: &Engine, places: &[EndpointState]) -> Vec<Move> {
     let mut moves = Vec::new();
     for pool in pools(engine, places) {
         moves.extend(Pool::new(engine, pool).plan());
@@ -87,13 +87,14 @@
 }
 
 /// Zones, joined with others while they hold no copy alone.
-fn pools(engine: &Engine, places: &[Place]) -> Vec<Vec<Place>> {
-    let mut zones: BTreeMap<&str, Vec<Place>> = BTreeMap::new();
+fn pools(engine: &Engine, places: &[EndpointState]) -> Vec<Vec<EndpointState>> {
+    let mut zones: BTreeMap<&str, Vec<EndpointState>> = BTreeMap::new();
     for place in places {
         zones.entry(&place.zone).or_default().push(place.clone());
     }
-    let mut pools: Vec<Vec<Place>> = zones.into_values().collect();
-    let holds = |pool: &Vec<Place>| total(engine, pool, MIN_TOKENS) >= u32::from(engine.layers);
+    let mut pools: Vec<Vec<EndpointState>> = zones.into_values().collect();
+    let holds =
+        |pool: &Vec<EndpointState>| total(engine, pool, MIN_TOKENS) >= u32::from(engine.layers);
     while pools.len() > 1
         && let Some(short) = pools.iter().position(|pool| !holds(pool))
     {
@@ -104,13 +105,13 @@
     pools
 }
 
-fn total(engine: &Engine, pool: &[Place], tokens: f64) -> u32 {
+fn total(engine: &Engine, pool: &[EndpointState], tokens: f64) -> u32 {
     pool.iter().map(|place| u32::from(engine.layers_beside(&place.card, tokens))).sum()
 }
 
 struct Pool<'a> {
     engine: &'a Engine,
-    places: Vec<Place>,
+    places: Vec<EndpointState>,
     /// By layer, the tokens for which its holders have memory; 0 when none
     /// holds it.
     tokens: Vec<f64>,
@@ -120,7 +121,7 @@
 }
 
 impl<'a> Pool<'a> {
-    fn new(engine: &'a Engine, mut places: Vec<Place>) -> Self {
+    fn new(engine: &'a Engine, mut places: Vec<EndpointState>) -> Self {
         // The fastest first, so that they get the first copy.
         places.sort_by(|a, b| a.card.pace.total_cmp(&b.card.pace).then_with(|| a.id.cmp(&b.id)));
         let layers = usize::from(engine.layers);
@@ -179,7 +180,7 @@
     }
 
     /// Tokens for which a place that holds `layers` has memory in each.
-    fn tokens_of(&self, place: &Place, layers: Layers) -> f64 {
+    fn tokens_of(&self, place: &EndpointState, layers: Layers) -> f64 {
         let count = layers.count();
         // A holder without memory still keeps its layers from being a gap.
         (self.engine.capacity(&place.card, count) / f64::from(count)).max(1.0)
@@ -284,7 +285,7 @@
     }
 
     /// The ranges that a place could hold instead, with their worth.
-    fn changes(&self, place: &Place, most: u16) -> Vec<(f64, Layers)> {
+    fn changes(&self, place: &EndpointState, most: u16) -> Vec<(f64, Layers)> {
         let now = place.layers;
         let busy = now.map_or(0.0, |now| {
             let capacity = self.engine.capacity(&place.card, now.count());
@@ -307,12 +308,12 @@
 
     /// Whether what is in use fits beside other layers; what is preempted
     /// would have to be read again.
-    fn fits(&self, place: &Place, layers: Layers) -> bool {
+    fn fits(&self, place: &EndpointState, layers: Layers) -> bool {
         place.used <= self.engine.capacity(&place.card, layers.count())
     }
 
     /// Whether holding `next` instead leaves a layer without a holder.
-    fn uncovers(&self, place: &Place, next: Layers) -> bool {
+    fn uncovers(&self, place: &EndpointState, next: Layers) -> bool {
         let Some(now) = place.layers else { return false };
         let own = self.tokens_of(place, now);
         let given_up = range(now).filter(|layer| !range(next).contains(layer));
--- a/mimosashift/tests/layout.rs
+++ b/mimosashift/tests/layout.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use mimosashift::deployment::{Card, Engine};
-use mimosashift::layout::{Move, Place, plan};
+use mimosashift::layout::{EndpointState, Move, plan};
 use mimosashift::resource::Layers;
 use proptest::prelude::*;
 
@@ -16,8 +16,8 @@
 
 const KINDS: [&str; 3] = ["large", "small", "slow"];
 
-fn place(number: usize, zone: &str, card: &str, held: Option<Layers>) -> Place {
-    Place {
+fn place(number: usize, zone: &str, card: &str, held: Option<Layers>) -> EndpointState {
+    EndpointState {
         id: format!("e{number:03}").into(),
         zone: zone.into(),
         card: engine().cards[card],
@@ -28,20 +28,20 @@
 }
 
 /// Cards of a zone, as many of each kind.
-fn zone(name: &str, counts: [usize; 3], from: usize) -> Vec<Place> {
+fn zone(name: &str, counts: [usize; 3], from: usize) -> Vec<EndpointState> {
     let kinds = KINDS.iter().zip(counts).flat_map(|(kind, n)| std::iter::repeat_n(*kind, n));
     kinds.enumerate().map(|(n, kind)| place(from + n, name, kind, None)).collect()
 }
 
 /// Three zones of unlike cards, each with room for a whole copy.
-fn three_zones() -> Vec<Place> {
+fn three_zones() -> Vec<EndpointState> {
     let mut places = zone("a", [2, 4, 4], 0);
     places.extend(zone("b", [1, 6, 6], 100));
     places.extend(zone("c", [1, 10, 4], 200));
     places
 }
 
-fn carry_out(places: &mut [Place], moves: &[Move]) {
+fn carry_out(places: &mut [EndpointState], moves: &[Move]) {
     for planned in moves {
         let place = places.iter_mut().find(|place| place.id == planned.id).unwrap();
         place.layers = Some(planned.layers);
@@ -49,7 +49,7 @@
 }
 
 /// Plans until nothing is left to do.
-fn settle(engine: &Engine, places: &mut [Place]) -> usize {
+fn settle(engine: &Engine, places: &mut [EndpointState]) -> usize {
     for round in 0..200 {
         let moves = plan(engine, places);
         if moves.is_empty() {
@@ -61,7 +61,7 @@
 }
 
 /// Tokens for which the holders of each layer have memory, by zone.
-fn tokens(engine: &Engine, places: &[Place]) -> BTreeMap<String, Vec<f64>> {
+fn tokens(engine: &Engine, places: &[EndpointState]) -> BTreeMap<String, Vec<f64>> {
     let mut zones: BTreeMap<String, Vec<f64>> = BTreeMap::new();
     for place in places {
         let of = zones.entry(place.zone.to_string()).or_insert_with(|| vec![0.0; 80]);
@@ -185,9 +185,9 @@
             let end = (start + count).min(80);
             let held = (number % 3 != 0 && start < end).then(|| layers(start, end));
             let held = held.filter(|held| fits(&engine, &engine.cards[KINDS[kind]], *held));
-            places.push(Place { busy, ..place(number, zones[zone], KINDS[kind], held) });
+            places.push(EndpointState { busy, ..place(number, zones[zone], KINDS[kind], held) });
         }
-        let whole = |places: &[Place]| -> Vec<usize> {
+        let whole = |places: &[EndpointState]| -> Vec<usize> {
             let zones = tokens(&engine, places);
             (0..80).filter(|layer| zones.values().all(|of| of[*layer] == 0.0)).collect()
         };
