--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -11,7 +11,7 @@
 use mimosashift::event::Event;
 use mimosashift::exchange::{Order, Ordered, Report};
 use mimosashift::fleet::{Hop, Member};
-use mimosashift::layout::{self, EndpointState, Move};
+use mimosashift::layout::{self, Assignment, EndpointState};
 use mimosashift::meter::PlatformCall;
 use mimosashift::order::lease::{Lease, Settings, TABLE};
 use mimosashift::peer::STORE_LOST;
@@ -254,7 +254,7 @@
         of.any(|member| member.returned().is_some_and(|at| now.since(at) < RETURN))
     }
 
-    fn moves(&self, service: &str, engine: &Engine) -> Vec<Move> {
+    fn moves(&self, service: &str, engine: &Engine) -> Vec<Assignment> {
         let now = clock::now();
         let fleet = self.front.fleet.borrow();
         let members = fleet
@@ -295,7 +295,7 @@
         now.since(self.settled.1) >= self.front.node().heartbeat + SETTLE
     }
 
-    async fn begin(&mut self, planned: Move) {
+    async fn begin(&mut self, planned: Assignment) {
         let hop = {
             let fleet = self.front.fleet.borrow();
             fleet.get(&planned.id).map(|member| target(member, planned.layers))
--- a/mimosashift/src/layout/mod.rs
+++ b/mimosashift/src/layout/mod.rs
@@ -70,7 +70,7 @@
 
 /// Layers that an endpoint shall hold from now on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Move {
+pub struct Assignment {
     /// The endpoint.
     pub id: Arc<str>,
     /// The layers.
@@ -78,7 +78,7 @@
 }
 
 /// The orders that bring the places nearer to a whole copy in each pool.
-pub fn plan(engine: &Engine, places: &[EndpointState]) -> Vec<Move> {
+pub fn plan(engine: &Engine, places: &[EndpointState]) -> Vec<Assignment> {
     let mut moves = Vec::new();
     for pool in pools(engine, places) {
         moves.extend(Pool::new(engine, pool).plan());
@@ -117,7 +117,7 @@
     tokens: Vec<f64>,
     /// By layer, the largest range of a place that holds it.
     largest: Vec<u16>,
-    moves: Vec<Move>,
+    moves: Vec<Assignment>,
 }
 
 impl<'a> Pool<'a> {
@@ -136,7 +136,7 @@
         pool
     }
 
-    fn plan(mut self) -> Vec<Move> {
+    fn plan(mut self) -> Vec<Assignment> {
         let target = self.target();
         self.fill(target);
         let mut tokens = target;
@@ -260,7 +260,7 @@
         let place = &mut self.places[index];
         place.layers = Some(layers);
         self.moves.retain(|earlier| earlier.id != place.id);
-        self.moves.push(Move { id: place.id.clone(), layers });
+        self.moves.push(Assignment { id: place.id.clone(), layers });
         self.count();
     }
 
--- a/mimosashift/tests/layout.rs
+++ b/mimosashift/tests/layout.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use mimosashift::deployment::{Card, Engine};
-use mimosashift::layout::{EndpointState, Move, plan};
+use mimosashift::layout::{Assignment, EndpointState, plan};
 use mimosashift::resource::Layers;
 use proptest::prelude::*;
 
@@ -41,7 +41,7 @@
     places
 }
 
-fn carry_out(places: &mut [EndpointState], moves: &[Move]) {
+fn carry_out(places: &mut [EndpointState], moves: &[Assignment]) {
     for planned in moves {
         let place = places.iter_mut().find(|place| place.id == planned.id).unwrap();
         place.layers = Some(planned.layers);
