--- a/mimosafront/src/front.rs
+++ b/mimosafront/src/front.rs
@@ -13,7 +13,7 @@
 use mimosashift::emit;
 use mimosashift::event::{Event, Logger};
 use mimosashift::exchange::Report;
-use mimosashift::fleet::{Fleet, Member, Observed};
+use mimosashift::fleet::{Fleet, Member, Observation};
 use mimosashift::link::{self, Pool};
 use mimosashift::meter::Meter;
 use mimosashift::peer::Peers;
@@ -76,7 +76,7 @@
     /// When the directory was last read.
     pub directory_read: Cell<Option<Instant>>,
     /// What reports have changed lately, for peers.
-    pub observed: RefCell<Vec<(Instant, Observed)>>,
+    pub observed: RefCell<Vec<(Instant, Observation)>>,
     /// Whether this router holds the lease on placement.
     pub leads: Cell<bool>,
     /// Whether SIGTERM has arrived.
@@ -264,7 +264,7 @@
     }
 
     /// Logs what was seen of an endpoint, and by whom.
-    pub fn log_observed(&self, id: &str, seen: &Observed, source: &str) {
+    pub fn log_observed(&self, id: &str, seen: &Observation, source: &str) {
         let layers = seen.layers.map(|layers| layers.to_string());
         emit!(self.log, Event::EndpointPlaced, "endpoint" => id, "source" => source, "layers" => layers, "pace" => seen.pace);
     }
--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -8,7 +8,7 @@
 use mimosaplatform::config;
 use mimosashift::emit;
 use mimosashift::event::Event;
-use mimosashift::fleet::{Member, Observed};
+use mimosashift::fleet::{Member, Observation};
 use mimosashift::peer::{Config, Digest, Directory};
 use mimosashift::time::Instant;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -107,7 +107,7 @@
             .observed
             .borrow()
             .iter()
-            .map(|(at, observed)| Observed { age: now.since(*at), ..*observed })
+            .map(|(at, observed)| Observation { age: now.since(*at), ..*observed })
             .collect(),
         dead: front.fleet.borrow().dead().map(Member::name).collect(),
         peers: front.peers.borrow().share(now),
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -117,7 +117,7 @@
 
 /// What a report said of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Observed {
+pub struct Observation {
     /// Short name of the endpoint.
     pub endpoint: u64,
     /// Its incarnation.
@@ -191,7 +191,7 @@
 
     /// Takes in what a report said, newer than its entry; returns whether that
     /// changed anything.
-    fn see(&mut self, seen: &Observed, now: Instant) -> bool {
+    fn see(&mut self, seen: &Observation, now: Instant) -> bool {
         let at = now - seen.age;
         if self.endpoint.incarnation != seen.incarnation || at <= self.observed {
             return false;
@@ -353,8 +353,8 @@
     }
 
     /// Takes in an endpoint's report; returns what changed for peers to know.
-    pub fn report(&mut self, id: &str, report: &Report, now: Instant) -> Option<Observed> {
-        let seen = Observed {
+    pub fn report(&mut self, id: &str, report: &Report, now: Instant) -> Option<Observation> {
+        let seen = Observation {
             age: Duration::ZERO,
             endpoint: key(id),
             incarnation: report.incarnation,
@@ -366,7 +366,7 @@
 
     /// Takes in what a peer saw of an endpoint; returns its id if that changed
     /// anything.
-    pub fn relay(&mut self, seen: &Observed, now: Instant) -> Option<Arc<str>> {
+    pub fn relay(&mut self, seen: &Observation, now: Instant) -> Option<Arc<str>> {
         let member = self.members.values_mut().find(|m| key(&m.endpoint.id) == seen.endpoint)?;
         member.see(seen, now).then(|| member.endpoint.id.clone())
     }
--- a/mimosashift/src/peer/mod.rs
+++ b/mimosashift/src/peer/mod.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::currency::Relayed;
-use crate::fleet::{Observed, Usage};
+use crate::fleet::{Observation, Usage};
 use crate::time::Instant;
 
 /// Shortest time between two digests to a peer of the own zone.
@@ -86,7 +86,7 @@
     /// What it uses of endpoints.
     pub usage: Vec<(u64, Usage)>,
     /// What it has seen change of endpoints lately.
-    pub observed: Vec<Observed>,
+    pub observed: Vec<Observation>,
     /// Endpoints that gave it no answer, with their incarnations.
     pub dead: Vec<(u64, u64)>,
     /// Addresses of other routers.
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use mimosashift::deployment::{Endpoint, Engine, Standing};
 use mimosashift::exchange::Report;
-use mimosashift::fleet::{Chain, Demand, Fleet, Observed, Query, Shortage, Usage, key};
+use mimosashift::fleet::{Chain, Demand, Fleet, Observation, Query, Shortage, Usage, key};
 use mimosashift::time::Instant;
 
 use test_case::test_case;
@@ -284,13 +284,13 @@
     assert!(choose(&fleet, &USUAL).is_ok());
 }
 
-const SEEN: Observed =
-    Observed { endpoint: 0, incarnation: 1, layers: None, pace: 1.0, age: Duration::ZERO };
+const SEEN: Observation =
+    Observation { endpoint: 0, incarnation: 1, layers: None, pace: 1.0, age: Duration::ZERO };
 
 #[test]
 fn what_a_peer_saw_counts_for_the_same_start_only() {
     let mut fleet = fleet(two_zones());
-    let mut seen = Observed { endpoint: key("e1"), incarnation: 2, ..SEEN };
+    let mut seen = Observation { endpoint: key("e1"), incarnation: 2, ..SEEN };
     assert_eq!(fleet.relay(&seen, at(1)), None);
     seen.incarnation = 1;
     assert_eq!(fleet.relay(&seen, at(1)).as_deref(), Some("e1"));
@@ -303,7 +303,7 @@
     let report = Report { incarnation: 1, layers: Some(layers(0, 50)), ..Report::default() };
     fleet.report("e1", &report, at(1_000));
     let age = Duration::from_millis(100);
-    let seen = Observed { endpoint: key("e1"), age, ..SEEN };
+    let seen = Observation { endpoint: key("e1"), age, ..SEEN };
     assert_eq!(fleet.relay(&seen, at(1_050)), None, "seen at 950");
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, Some(layers(0, 50)));
     assert!(fleet.relay(&seen, at(1_150)).is_some(), "seen at 1,050");
