--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -104,7 +104,7 @@
 
 /// What changed when the directory was read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Change {
+pub struct DirectoryChange {
     /// Endpoints that appeared or started anew.
     pub joined: Vec<Arc<str>>,
     /// Endpoints that began to leave.
@@ -160,7 +160,7 @@
     }
 }
 
-impl Change {
+impl DirectoryChange {
     /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -273,8 +273,8 @@
         entries: Vec<Endpoint>,
         lapsed_until: Instant,
         now: Instant,
-    ) -> Change {
-        let mut change = Change::default();
+    ) -> DirectoryChange {
+        let mut change = DirectoryChange::default();
         let mut listed = std::collections::HashSet::new();
         for entry in entries {
             listed.insert(entry.id.clone());
@@ -296,7 +296,7 @@
         change
     }
 
-    fn enter(&mut self, entry: Endpoint, now: Instant, change: &mut Change) {
+    fn enter(&mut self, entry: Endpoint, now: Instant, change: &mut DirectoryChange) {
         let id = entry.id.clone();
         let Some(member) = self.members.get_mut(&id) else {
             change.joined.push(id.clone());
