--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -192,7 +192,7 @@
         let (address, layers) = (e.address.to_string(), e.layers.map(|layers| layers.to_string()));
         emit!(front.log, Event::EndpointJoined, "endpoint" => &**id, "service" => &*e.service, "zone" => &*e.zone, "address" => address, "incarnation" => e.incarnation, "layers" => layers);
     }
-    for id in &change.moved {
+    for id in &change.layers_changed {
         let layers = fleet.get(id).and_then(|member| member.endpoint.layers);
         emit!(front.log, Event::EndpointPlaced, "endpoint" => &**id, "source" => "store", "layers" => layers.map(|layers| layers.to_string()));
     }
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -112,7 +112,7 @@
     /// Endpoints that are gone.
     pub gone: Vec<Arc<str>>,
     /// Endpoints that hold other layers.
-    pub moved: Vec<Arc<str>>,
+    pub layers_changed: Vec<Arc<str>>,
 }
 
 /// What a report said of an endpoint.
@@ -322,7 +322,7 @@
             entry.layers = member.endpoint.layers;
         }
         if entry.layers != member.endpoint.layers {
-            change.moved.push(id);
+            change.layers_changed.push(id);
         }
         member.endpoint = entry;
     }
