--- a/mimosashift/src/fleet/chain.rs
+++ b/mimosashift/src/fleet/chain.rs
@@ -178,7 +178,7 @@
             fill,
             layer_ms: work_ms / whole / (1.0 - fill),
             // Work arrives in the middle of a pass on the average.
-            hop_ms: passes * pass_ms / 2.0 + f64::from(usage.reading) * read_ms / whole,
+            hop_ms: passes * pass_ms / 2.0 + f64::from(usage.prefill) * read_ms / whole,
             room: (free / demand.tokens().max(1.0)).min(whole) as u16,
             has_slot: usage.requests < engine.slots,
         })
--- a/mimosashift/src/fleet/claim.rs
+++ b/mimosashift/src/fleet/claim.rs
@@ -67,7 +67,7 @@
             let layers = f32::from(hop.layers.count());
             let usage = Usage {
                 cache: claim.tokens * layers,
-                reading: if claim.reading[place] { claim.prompt * layers } else { 0.0 },
+                prefill: if claim.reading[place] { claim.prompt * layers } else { 0.0 },
                 requests: u32::from(place == 0),
             };
             let Some(member) = self.members.get_mut(&hop.id) else { continue };
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -59,7 +59,7 @@
     /// KV cache, tokens x layers.
     pub cache: f32,
     /// Prompts that have not been read yet, tokens x layers.
-    pub reading: f32,
+    pub prefill: f32,
     /// Requests that it received from a router.
     pub requests: u32,
 }
@@ -149,13 +149,13 @@
 impl Usage {
     fn add(&mut self, other: &Self) {
         self.cache += other.cache;
-        self.reading += other.reading;
+        self.prefill += other.prefill;
         self.requests += other.requests;
     }
 
     fn subtract(&mut self, other: &Self) {
         self.cache = (self.cache - other.cache).max(0.0);
-        self.reading = (self.reading - other.reading).max(0.0);
+        self.prefill = (self.prefill - other.prefill).max(0.0);
         self.requests = self.requests.saturating_sub(other.requests);
     }
 }
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -414,7 +414,7 @@
     moved[1].id = "e4".into();
     fleet.reroute(&mut claim, moved);
     let reading: Vec<_> =
-        fleet.digest().into_iter().filter(|(_, usage)| usage.reading > 0.0).collect();
+        fleet.digest().into_iter().filter(|(_, usage)| usage.prefill > 0.0).collect();
     assert_eq!(reading.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [key("e4")]);
     fleet.begin(&mut claim);
     fleet.release(&claim);
