--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -140,7 +140,7 @@
 }
 
 /// The short name of an endpoint in digests.
-pub fn key(id: &str) -> u64 {
+pub fn endpoint_key(id: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     hasher.finish()
@@ -244,7 +244,7 @@
 
     /// Its short name and its incarnation.
     pub fn name(&self) -> (u64, u64) {
-        (key(&self.endpoint.id), self.endpoint.incarnation)
+        (endpoint_key(&self.endpoint.id), self.endpoint.incarnation)
     }
 
     /// How many times slower than its card it reports to be.
@@ -356,7 +356,7 @@
     pub fn report(&mut self, id: &str, report: &Report, now: Instant) -> Option<Observation> {
         let seen = Observation {
             age: Duration::ZERO,
-            endpoint: key(id),
+            endpoint: endpoint_key(id),
             incarnation: report.incarnation,
             layers: report.layers,
             pace: report.pace.max(1.0) as f32,
@@ -367,14 +367,15 @@
     /// Takes in what a peer saw of an endpoint; returns its id if that changed
     /// anything.
     pub fn relay(&mut self, seen: &Observation, now: Instant) -> Option<Arc<str>> {
-        let member = self.members.values_mut().find(|m| key(&m.endpoint.id) == seen.endpoint)?;
+        let member =
+            self.members.values_mut().find(|m| endpoint_key(&m.endpoint.id) == seen.endpoint)?;
         member.see(seen, now).then(|| member.endpoint.id.clone())
     }
 
     /// What this router uses, for digests; only what is in use.
     pub fn digest(&self) -> Vec<(u64, Usage)> {
         let used = self.members.values().filter(|member| member.own != Usage::default());
-        used.map(|member| (key(&member.endpoint.id), member.own)).collect()
+        used.map(|member| (endpoint_key(&member.endpoint.id), member.own)).collect()
     }
 
     /// Takes in a peer's use.
@@ -382,7 +383,7 @@
         self.digests.insert(peer.clone(), (now, usage.iter().copied().collect()));
         self.digests.retain(|_, (at, _)| now.since(*at) < PEER_LIFE);
         for member in self.members.values_mut() {
-            let key = key(&member.endpoint.id);
+            let key = endpoint_key(&member.endpoint.id);
             member.peers = Usage::default();
             for (_, digest) in self.digests.values() {
                 if let Some(usage) = digest.get(&key) {
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use mimosashift::deployment::{Endpoint, Engine, Standing};
 use mimosashift::exchange::Report;
-use mimosashift::fleet::{Chain, Demand, Fleet, Observation, Query, Shortage, Usage, key};
+use mimosashift::fleet::{Chain, Demand, Fleet, Observation, Query, Shortage, Usage, endpoint_key};
 use mimosashift::time::Instant;
 
 use test_case::test_case;
@@ -227,7 +227,8 @@
 fn use_by_peers_counts_until_the_peer_is_silent() {
     let mut fleet = fleet(two_zones());
     let full = Usage { cache: 1e9, ..Usage::default() };
-    let usage: Vec<_> = ["e1", "e2", "e3", "e4"].iter().map(|id| (key(id), full)).collect();
+    let usage: Vec<_> =
+        ["e1", "e2", "e3", "e4"].iter().map(|id| (endpoint_key(id), full)).collect();
     fleet.merge(&"peer".into(), &usage, at(100));
     assert_eq!(choose(&fleet, &USUAL), Err(Shortage::Full(0)));
     fleet.merge(&"other".into(), &[], at(10_000));
@@ -290,7 +291,7 @@
 #[test]
 fn what_a_peer_saw_counts_for_the_same_start_only() {
     let mut fleet = fleet(two_zones());
-    let mut seen = Observation { endpoint: key("e1"), incarnation: 2, ..SEEN };
+    let mut seen = Observation { endpoint: endpoint_key("e1"), incarnation: 2, ..SEEN };
     assert_eq!(fleet.relay(&seen, at(1)), None);
     seen.incarnation = 1;
     assert_eq!(fleet.relay(&seen, at(1)).as_deref(), Some("e1"));
@@ -303,7 +304,7 @@
     let report = Report { incarnation: 1, layers: Some(layers(0, 50)), ..Report::default() };
     fleet.report("e1", &report, at(1_000));
     let age = Duration::from_millis(100);
-    let seen = Observation { endpoint: key("e1"), age, ..SEEN };
+    let seen = Observation { endpoint: endpoint_key("e1"), age, ..SEEN };
     assert_eq!(fleet.relay(&seen, at(1_050)), None, "seen at 950");
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, Some(layers(0, 50)));
     assert!(fleet.relay(&seen, at(1_150)).is_some(), "seen at 1,050");
@@ -415,7 +416,7 @@
     fleet.reroute(&mut claim, moved);
     let reading: Vec<_> =
         fleet.digest().into_iter().filter(|(_, usage)| usage.prefill > 0.0).collect();
-    assert_eq!(reading.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [key("e4")]);
+    assert_eq!(reading.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [endpoint_key("e4")]);
     fleet.begin(&mut claim);
     fleet.release(&claim);
     assert!(fleet.digest().is_empty());
