--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -109,7 +109,7 @@
             .iter()
             .map(|(at, observed)| Observation { age: now.since(*at), ..*observed })
             .collect(),
-        dead: front.fleet.borrow().dead().map(Member::name).collect(),
+        dead: front.fleet.borrow().dead().map(Member::key).collect(),
         peers: front.peers.borrow().share(now),
     }
 }
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -243,7 +243,7 @@
     }
 
     /// Its short name and its incarnation.
-    pub fn name(&self) -> (u64, u64) {
+    pub fn key(&self) -> (u64, u64) {
         (endpoint_key(&self.endpoint.id), self.endpoint.incarnation)
     }
 
