--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -251,7 +251,7 @@
         let now = clock::now();
         let fleet = self.front.fleet.borrow();
         let mut of = fleet.members().filter(|m| &*m.endpoint.service == service);
-        of.any(|member| member.returned().is_some_and(|at| now.since(at) < RETURN))
+        of.any(|member| member.reappeared_at().is_some_and(|at| now.since(at) < RETURN))
     }
 
     fn moves(&self, service: &str, engine: &Engine) -> Vec<Assignment> {
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -253,7 +253,7 @@
     }
 
     /// When it came into sight, if it held layers then.
-    pub const fn returned(&self) -> Option<Instant> {
+    pub const fn reappeared_at(&self) -> Option<Instant> {
         self.returned
     }
 
