--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -184,7 +184,7 @@
         }
     }
     unreadable.retain(|id, _| rows.iter().any(|row| row.key.key == *id));
-    let change = front.fleet.borrow_mut().observe(entries, lapsed_until, clock::now());
+    let change = front.fleet.borrow_mut().apply_directory(entries, lapsed_until, clock::now());
     let fleet = front.fleet.borrow();
     for id in &change.joined {
         let endpoint = fleet.get(id).map(|member| &member.endpoint);
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -268,7 +268,7 @@
     ///
     /// Entries that are missing stay for as long as `lapsed_until` says: after
     /// an outage of the store, endpoints need time to register again.
-    pub fn observe(
+    pub fn apply_directory(
         &mut self,
         entries: Vec<Endpoint>,
         lapsed_until: Instant,
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -20,7 +20,7 @@
 
 fn fleet(entries: Vec<Endpoint>) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.observe(entries, Instant::ZERO, at(0));
+    fleet.apply_directory(entries, Instant::ZERO, at(0));
     fleet
 }
 
@@ -144,7 +144,7 @@
     let mut entries = two_zones();
     let entry = entries.iter_mut().find(|entry| entry.id == first).unwrap();
     entry.incarnation = 2;
-    fleet.observe(entries, Instant::ZERO, at(100));
+    fleet.apply_directory(entries, Instant::ZERO, at(100));
     let next = fleet.claim(choose(&fleet, &USUAL).unwrap(), &USUAL);
     fleet.release(&claim);
     fleet.release(&next);
@@ -203,10 +203,10 @@
 #[test]
 fn missing_entry_stays_after_an_outage_of_the_store_and_then_goes() {
     let mut fleet = fleet(two_zones());
-    let kept = fleet.observe(Vec::new(), at(2_000), at(1_000));
+    let kept = fleet.apply_directory(Vec::new(), at(2_000), at(1_000));
     assert!(kept.gone.is_empty());
     assert!(choose(&fleet, &USUAL).is_ok());
-    let gone = fleet.observe(Vec::new(), at(2_000), at(2_000));
+    let gone = fleet.apply_directory(Vec::new(), at(2_000), at(2_000));
     assert_eq!(gone.gone.len(), 4);
 }
 
@@ -215,11 +215,11 @@
     let mut fleet = fleet(two_zones());
     let report = Report { incarnation: 1, layers: Some(layers(0, 50)), ..Report::default() };
     fleet.report("e1", &report, at(5));
-    fleet.observe(two_zones(), Instant::ZERO, at(10));
+    fleet.apply_directory(two_zones(), Instant::ZERO, at(10));
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, Some(layers(0, 50)));
     let mut later = two_zones();
     later[0].heartbeat = 2;
-    fleet.observe(later, Instant::ZERO, at(20));
+    fleet.apply_directory(later, Instant::ZERO, at(20));
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, Some(layers(0, 40)));
 }
 
