--- a/mimosafront/src/front.rs
+++ b/mimosafront/src/front.rs
@@ -252,7 +252,7 @@
     pub fn take_report(&self, id: &str, report: &Report) {
         let is_slow = || self.fleet.borrow().get(id).is_some_and(Member::is_slow);
         let was_slow = is_slow();
-        let seen = self.fleet.borrow_mut().report(id, report, clock::now());
+        let seen = self.fleet.borrow_mut().apply_report(id, report, clock::now());
         let Some(seen) = seen else { return };
         if is_slow() && !was_slow {
             self.faults.notify_waiters();
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -353,7 +353,7 @@
     }
 
     /// Takes in an endpoint's report; returns what changed for peers to know.
-    pub fn report(&mut self, id: &str, report: &Report, now: Instant) -> Option<Observation> {
+    pub fn apply_report(&mut self, id: &str, report: &Report, now: Instant) -> Option<Observation> {
         let seen = Observation {
             age: Duration::ZERO,
             endpoint: endpoint_key(id),
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -214,7 +214,7 @@
 fn entry_older_than_a_report_does_not_bring_back_its_layers() {
     let mut fleet = fleet(two_zones());
     let report = Report { incarnation: 1, layers: Some(layers(0, 50)), ..Report::default() };
-    fleet.report("e1", &report, at(5));
+    fleet.apply_report("e1", &report, at(5));
     fleet.apply_directory(two_zones(), Instant::ZERO, at(10));
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, Some(layers(0, 50)));
     let mut later = two_zones();
@@ -278,10 +278,10 @@
     let mut fleet = fleet(two_zones());
     let slow =
         |layers| Report { incarnation: 1, layers: Some(layers), pace: 12.0, ..Report::default() };
-    assert!(fleet.report("e1", &slow(layers(0, 40)), at(1)).is_some());
-    assert!(fleet.report("e1", &slow(layers(0, 40)), at(2)).is_none(), "nothing changed");
+    assert!(fleet.apply_report("e1", &slow(layers(0, 40)), at(1)).is_some());
+    assert!(fleet.apply_report("e1", &slow(layers(0, 40)), at(2)).is_none(), "nothing changed");
     assert_eq!(ids(&choose(&fleet, &USUAL).unwrap())[0], "e3");
-    fleet.report("e3", &slow(layers(0, 40)), at(3));
+    fleet.apply_report("e3", &slow(layers(0, 40)), at(3));
     assert!(choose(&fleet, &USUAL).is_ok());
 }
 
@@ -302,7 +302,7 @@
 fn what_a_peer_saw_earlier_does_not_undo_a_report() {
     let mut fleet = fleet(two_zones());
     let report = Report { incarnation: 1, layers: Some(layers(0, 50)), ..Report::default() };
-    fleet.report("e1", &report, at(1_000));
+    fleet.apply_report("e1", &report, at(1_000));
     let age = Duration::from_millis(100);
     let seen = Observation { endpoint: endpoint_key("e1"), age, ..SEEN };
     assert_eq!(fleet.relay(&seen, at(1_050)), None, "seen at 950");
@@ -370,7 +370,7 @@
     fleet.die("e3", at(20));
     assert_eq!(begins(&fleet), Err(Shortage::Uncovered(0)));
     let report = Report { incarnation: 1, layers: Some(layers(0, 40)), ..Report::default() };
-    fleet.report("e1", &report, at(30));
+    fleet.apply_report("e1", &report, at(30));
     assert!(!fleet.is_dead("e1"));
     assert_eq!(begins(&fleet).unwrap(), "e1");
 }
