--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -132,7 +132,7 @@
     front.fleet.borrow_mut().merge(&digest.node, &digest.usage, now);
     front.released.notify_one();
     for seen in &digest.observed {
-        let changed = front.fleet.borrow_mut().relay(seen, now);
+        let changed = front.fleet.borrow_mut().apply_observation(seen, now);
         if let Some(id) = changed {
             front.log_observed(&id, seen, &digest.node);
         }
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -366,7 +366,7 @@
 
     /// Takes in what a peer saw of an endpoint; returns its id if that changed
     /// anything.
-    pub fn relay(&mut self, seen: &Observation, now: Instant) -> Option<Arc<str>> {
+    pub fn apply_observation(&mut self, seen: &Observation, now: Instant) -> Option<Arc<str>> {
         let member =
             self.members.values_mut().find(|m| endpoint_key(&m.endpoint.id) == seen.endpoint)?;
         member.see(seen, now).then(|| member.endpoint.id.clone())
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -292,9 +292,9 @@
 fn what_a_peer_saw_counts_for_the_same_start_only() {
     let mut fleet = fleet(two_zones());
     let mut seen = Observation { endpoint: endpoint_key("e1"), incarnation: 2, ..SEEN };
-    assert_eq!(fleet.relay(&seen, at(1)), None);
+    assert_eq!(fleet.apply_observation(&seen, at(1)), None);
     seen.incarnation = 1;
-    assert_eq!(fleet.relay(&seen, at(1)).as_deref(), Some("e1"));
+    assert_eq!(fleet.apply_observation(&seen, at(1)).as_deref(), Some("e1"));
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, None);
 }
 
@@ -305,9 +305,9 @@
     fleet.apply_report("e1", &report, at(1_000));
     let age = Duration::from_millis(100);
     let seen = Observation { endpoint: endpoint_key("e1"), age, ..SEEN };
-    assert_eq!(fleet.relay(&seen, at(1_050)), None, "seen at 950");
+    assert_eq!(fleet.apply_observation(&seen, at(1_050)), None, "seen at 950");
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, Some(layers(0, 50)));
-    assert!(fleet.relay(&seen, at(1_150)).is_some(), "seen at 1,050");
+    assert!(fleet.apply_observation(&seen, at(1_150)).is_some(), "seen at 1,050");
 }
 
 #[test]
