--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -129,7 +129,7 @@
         }
         mimosashift::peer::Event::Renewed => {}
     }
-    front.fleet.borrow_mut().merge(&digest.node, &digest.usage, now);
+    front.fleet.borrow_mut().merge_digest(&digest.node, &digest.usage, now);
     front.released.notify_one();
     for seen in &digest.observed {
         let changed = front.fleet.borrow_mut().apply_observation(seen, now);
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -379,7 +379,7 @@
     }
 
     /// Takes in a peer's use.
-    pub fn merge(&mut self, peer: &Arc<str>, usage: &[(u64, Usage)], now: Instant) {
+    pub fn merge_digest(&mut self, peer: &Arc<str>, usage: &[(u64, Usage)], now: Instant) {
         self.digests.insert(peer.clone(), (now, usage.iter().copied().collect()));
         self.digests.retain(|_, (at, _)| now.since(*at) < PEER_LIFE);
         for member in self.members.values_mut() {
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -229,9 +229,9 @@
     let full = Usage { cache: 1e9, ..Usage::default() };
     let usage: Vec<_> =
         ["e1", "e2", "e3", "e4"].iter().map(|id| (endpoint_key(id), full)).collect();
-    fleet.merge(&"peer".into(), &usage, at(100));
+    fleet.merge_digest(&"peer".into(), &usage, at(100));
     assert_eq!(choose(&fleet, &USUAL), Err(Shortage::Full(0)));
-    fleet.merge(&"other".into(), &[], at(10_000));
+    fleet.merge_digest(&"other".into(), &[], at(10_000));
     assert!(choose(&fleet, &USUAL).is_ok());
 }
 
