--- a/mimosafront/src/front.rs
+++ b/mimosafront/src/front.rs
@@ -271,7 +271,7 @@
 
     /// Leaves an endpoint out that gives no answer, and wakes those that use it.
     pub fn bury(&self, id: &str, reason: &str) {
-        self.fleet.borrow_mut().die(id, clock::now());
+        self.fleet.borrow_mut().mark_dead(id, clock::now());
         self.faults.notify_waiters();
         emit!(self.log, Event::EndpointDoubted, "endpoint" => id, "reason" => reason, "dead" => true);
     }
--- a/mimosashift/src/fleet/vitals.rs
+++ b/mimosashift/src/fleet/vitals.rs
@@ -113,7 +113,7 @@
     }
 
     /// Notes that an endpoint gives no answer at all.
-    pub fn die(&mut self, id: &str, now: Instant) {
+    pub fn mark_dead(&mut self, id: &str, now: Instant) {
         if let Some(member) = self.members.get_mut(id) {
             member.dead_since.get_or_insert(now);
         }
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -358,7 +358,7 @@
 #[test]
 fn dead_endpoint_gets_nothing_until_it_reports() {
     let mut fleet = fleet(two_zones());
-    fleet.die("e1", at(10));
+    fleet.mark_dead("e1", at(10));
     assert!(fleet.is_dead("e1"));
     // Also long after a doubt would have passed.
     let begins = |fleet: &Fleet| {
@@ -367,7 +367,7 @@
     assert_eq!(begins(&fleet).unwrap(), "e3");
     assert_eq!(fleet.overdue(at(11)).len(), 0);
     assert_eq!(fleet.overdue(at(60_000)).len(), 1);
-    fleet.die("e3", at(20));
+    fleet.mark_dead("e3", at(20));
     assert_eq!(begins(&fleet), Err(Shortage::Uncovered(0)));
     let report = Report { incarnation: 1, layers: Some(layers(0, 40)), ..Report::default() };
     fleet.apply_report("e1", &report, at(30));
@@ -380,11 +380,11 @@
     let zone = |n| endpoint(n, "a", "large", Some(layers(0, 10)));
     let mut fleet = fleet((1..=6).map(zone).collect());
     let lost = |fleet: &Fleet, ms| fleet.is_lost(fleet.get("e1").unwrap(), at(ms));
-    fleet.die("e1", at(1_000));
-    fleet.die("e1", at(1_400));
+    fleet.mark_dead("e1", at(1_000));
+    fleet.mark_dead("e1", at(1_400));
     assert!(!lost(&fleet, 1_599));
     assert!(lost(&fleet, 1_600));
-    fleet.die("e2", at(1_600));
+    fleet.mark_dead("e2", at(1_600));
     assert!(!lost(&fleet, 2_000), "a third of the zone is silent");
 }
 
