--- a/mimosafront/src/front.rs
+++ b/mimosafront/src/front.rs
@@ -278,7 +278,7 @@
 
     /// Leaves an endpoint out for a while because it failed.
     pub fn doubt(&self, id: &str, reason: &str) {
-        self.fleet.borrow_mut().fail(id, clock::now());
+        self.fleet.borrow_mut().record_failure(id, clock::now());
         emit!(self.log, Event::EndpointDoubted, "endpoint" => id, "reason" => reason);
     }
 }
--- a/mimosashift/src/fleet/vitals.rs
+++ b/mimosashift/src/fleet/vitals.rs
@@ -117,7 +117,7 @@
         if let Some(member) = self.members.get_mut(id) {
             member.dead_since.get_or_insert(now);
         }
-        self.fail(id, now);
+        self.record_failure(id, now);
     }
 
     /// The endpoints that gave no answer.
@@ -174,7 +174,7 @@
     }
 
     /// Notes that an endpoint failed; it is left out for a while.
-    pub fn fail(&mut self, id: &str, now: Instant) {
+    pub fn record_failure(&mut self, id: &str, now: Instant) {
         let Some(member) = self.members.get_mut(id) else { return };
         let doubt = FIRST_DOUBT.saturating_mul(1 << member.strikes.min(8)).min(MAX_DOUBT);
         member.strikes += 1;
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -94,8 +94,8 @@
 #[test]
 fn lost_range_is_borrowed_from_another_zone() {
     let mut fleet = fleet(two_zones());
-    fleet.fail("e2", at(50));
-    fleet.fail("e3", at(50));
+    fleet.record_failure("e2", at(50));
+    fleet.record_failure("e3", at(50));
     let chain = choose(&fleet, &USUAL).unwrap();
     assert_eq!(ids(&chain), ["e1", "e4"]);
 }
@@ -155,7 +155,7 @@
 fn started_chain_keeps_its_first_part() {
     let mut fleet = fleet(two_zones());
     let chain = choose(&fleet, &USUAL).unwrap();
-    fleet.fail(&chain[1].id, at(50));
+    fleet.record_failure(&chain[1].id, at(50));
     let moved =
         fleet.chain(&Query { first: Some(&chain[0]), ..query(&huge(), &USUAL) }, at(100)).unwrap();
     assert_eq!(moved[0], chain[0]);
@@ -251,25 +251,25 @@
 fn doubted_endpoint_returns_and_is_doubted_for_longer() {
     let mut fleet = fleet(vec![plain(1, "a"), plain(2, "b")]);
     let picked = |fleet: &Fleet, ms| fleet.pick(PLAIN, "a", &[], at(ms)).unwrap().id;
-    fleet.fail("e1", at(0));
+    fleet.record_failure("e1", at(0));
     fleet.answered("e1", true);
     assert_eq!(&*picked(&fleet, 399), "e2");
     // Once it may be used again, only its share of failures counts.
-    fleet.fail("e2", at(390));
+    fleet.record_failure("e2", at(390));
     assert_eq!(&*picked(&fleet, 400), "e1");
-    fleet.fail("e1", at(400));
-    fleet.fail("e1", at(400));
+    fleet.record_failure("e1", at(400));
+    fleet.record_failure("e1", at(400));
     assert_eq!(&*picked(&fleet, 1_199), "e2");
 }
 
 #[test]
 fn last_endpoint_is_used_though_it_failed() {
     let mut plain = fleet(vec![plain(1, "a")]);
-    plain.fail("e1", at(0));
+    plain.record_failure("e1", at(0));
     assert!(plain.pick(PLAIN, "a", &[], at(1)).is_some());
     let mut fleet = fleet(two_zones());
-    fleet.fail("e1", at(99));
-    fleet.fail("e3", at(99));
+    fleet.record_failure("e1", at(99));
+    fleet.record_failure("e3", at(99));
     assert!(choose(&fleet, &USUAL).is_ok());
 }
 
@@ -318,10 +318,10 @@
     let mut fleet = fleet(entries);
     let usable = |fleet: &Fleet| fleet.usable(MODEL, at(1_001));
     for id in ["e1", "e2"] {
-        fleet.fail(id, at(1_000));
+        fleet.record_failure(id, at(1_000));
     }
     assert_eq!(usable(&fleet), 22);
-    fleet.fail("e3", at(1_000));
+    fleet.record_failure("e3", at(1_000));
     assert_eq!(usable(&fleet), 12, "a quarter of the zone failed");
 }
 
@@ -426,7 +426,7 @@
 fn holders_of_a_layer_are_described_with_their_state() {
     let mut fleet = fleet(two_zones());
     fleet.crowd("e1", at(50));
-    fleet.fail("e3", at(50));
+    fleet.record_failure("e3", at(50));
     let text = fleet.holders(&query(&huge(), &USUAL), 7, at(60));
     assert_eq!(text, "e1 0.00 crowded, e3 0.00 doubted");
 }
