--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -412,7 +412,7 @@
         let hop = named.unwrap_or(first).clone();
         if named.is_some() {
             let front = self.front().clone();
-            front.fleet.borrow_mut().crowd(&hop.id, clock::now());
+            front.fleet.borrow_mut().record_cache_full(&hop.id, clock::now());
             emit!(front.log, Event::EndpointCrowded, "endpoint" => &*hop.id, "request" => &*self.job.id, "status" => status.as_u16());
             let hop = hop.clone();
             // It takes part in no choice until the finding is there.
--- a/mimosashift/src/fleet/vitals.rs
+++ b/mimosashift/src/fleet/vitals.rs
@@ -187,7 +187,7 @@
     /// Notes that an endpoint had no memory for a request; it is well otherwise.
     /// One that refuses soon after it was tried again is left for longer, as
     /// many routers may press it.
-    pub fn crowd(&mut self, id: &str, now: Instant) {
+    pub fn record_cache_full(&mut self, id: &str, now: Instant) {
         let Some(member) = self.members.get_mut(id) else { return };
         if now < member.crowded_until {
             return;
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -391,17 +391,17 @@
 #[test]
 fn endpoint_without_memory_gets_nothing_for_a_moment() {
     let mut fleet = fleet(two_zones());
-    fleet.crowd("e1", at(50));
+    fleet.record_cache_full("e1", at(50));
     let begins =
         |fleet: &Fleet, ms| fleet.chain(&query(&huge(), &USUAL), at(ms)).unwrap()[0].id.to_string();
     assert_eq!(begins(&fleet, 149), "e3");
     assert_eq!(begins(&fleet, 150), "e1");
     // What was sent before it was known to be full says nothing more.
-    fleet.crowd("e1", at(200));
-    fleet.crowd("e1", at(210));
+    fleet.record_cache_full("e1", at(200));
+    fleet.record_cache_full("e1", at(210));
     assert_eq!(begins(&fleet, 399), "e3");
     assert_eq!(begins(&fleet, 400), "e1");
-    fleet.crowd("e1", at(5_000));
+    fleet.record_cache_full("e1", at(5_000));
     assert_eq!(begins(&fleet, 5_100), "e1");
 }
 
@@ -425,7 +425,7 @@
 #[test]
 fn holders_of_a_layer_are_described_with_their_state() {
     let mut fleet = fleet(two_zones());
-    fleet.crowd("e1", at(50));
+    fleet.record_cache_full("e1", at(50));
     fleet.record_failure("e3", at(50));
     let text = fleet.holders(&query(&huge(), &USUAL), 7, at(60));
     assert_eq!(text, "e1 0.00 crowded, e3 0.00 doubted");
