--- a/mimosafront/src/relay/plain.rs
+++ b/mimosafront/src/relay/plain.rs
@@ -144,7 +144,7 @@
     };
     // An endpoint's own failure counts against it, also where it is passed on.
     let well = matches!(&outcome, Sent::Answered(r, _) if !r.status().is_server_error());
-    front.fleet.borrow_mut().answered(&hop.id, well);
+    front.fleet.borrow_mut().record_answer(&hop.id, well);
     if let Sent::Answered(response, true) = &outcome {
         let status = response.status();
         let label = if status.is_success() { Outcome::Completed } else { Outcome::Failed };
--- a/mimosashift/src/fleet/vitals.rs
+++ b/mimosashift/src/fleet/vitals.rs
@@ -217,7 +217,7 @@
     }
 
     /// Notes how an endpoint answered.
-    pub fn answered(&mut self, id: &str, well: bool) {
+    pub fn record_answer(&mut self, id: &str, well: bool) {
         let Some(member) = self.members.get_mut(id) else { return };
         let failed = if well { 0.0 } else { 1.0 };
         member.failures += FAILURE_GAIN * (failed - member.failures);
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -241,7 +241,7 @@
     let first = fleet.pick(PLAIN, "a", &[], at(10)).unwrap();
     assert_eq!(&*first.id, "e1");
     fleet.take(&first);
-    fleet.answered("e2", false);
+    fleet.record_answer("e2", false);
     assert_eq!(&*fleet.pick(PLAIN, "a", &[], at(10)).unwrap().id, "e3");
     fleet.give(&first);
     assert_eq!(&*fleet.pick(PLAIN, "a", &[], at(10)).unwrap().id, "e1");
@@ -252,7 +252,7 @@
     let mut fleet = fleet(vec![plain(1, "a"), plain(2, "b")]);
     let picked = |fleet: &Fleet, ms| fleet.pick(PLAIN, "a", &[], at(ms)).unwrap().id;
     fleet.record_failure("e1", at(0));
-    fleet.answered("e1", true);
+    fleet.record_answer("e1", true);
     assert_eq!(&*picked(&fleet, 399), "e2");
     // Once it may be used again, only its share of failures counts.
     fleet.record_failure("e2", at(390));
