--- a/mimosafront/src/relay/model/pump.rs
+++ b/mimosafront/src/relay/model/pump.rs
@@ -233,7 +233,7 @@
         let written = (self.passed + whole.count) as f32 * self.engine.stride as f32;
         let pause = (self.passed > 0).then(|| now.since(self.pauses.last));
         if let Some(claim) = &mut self.claim {
-            fleet.progress(&claim.chain, pause, now);
+            fleet.record_progress(&claim.chain, pause, now);
             fleet.begin(claim);
             fleet.grow(claim, written);
         }
--- a/mimosashift/src/fleet/vitals.rs
+++ b/mimosashift/src/fleet/vitals.rs
@@ -89,7 +89,7 @@
 impl Fleet {
     /// Notes that work made progress through a chain, with the time since it
     /// last did.
-    pub fn progress(&mut self, chain: &[Hop], pause: Option<Duration>, now: Instant) {
+    pub fn record_progress(&mut self, chain: &[Hop], pause: Option<Duration>, now: Instant) {
         if let Some(pause) = pause {
             self.usual_pause.add(pause);
         }
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -195,7 +195,7 @@
     let mut fleet = fleet(two_zones());
     let chain = choose(&fleet, &USUAL).unwrap();
     // This stream's last event came at 1,000, another one's at 1,030.
-    fleet.progress(&chain, None, at(1_030));
+    fleet.record_progress(&chain, None, at(1_030));
     assert_eq!(fleet.silent(&chain, at(1_300)).len(), chain.len());
     assert!(fleet.silent(&chain, at(1_060)).is_empty());
 }
@@ -341,7 +341,7 @@
 #[test_case(3, 130 => 2; "every part of the chain")]
 fn endpoints_in_use_that_fall_silent_are_found(streams: usize, silent_ms: u64) -> usize {
     let (mut fleet, chain) = passing(streams);
-    fleet.progress(&chain, Some(Duration::from_millis(80)), at(1_000));
+    fleet.record_progress(&chain, Some(Duration::from_millis(80)), at(1_000));
     fleet.stalled(at(1_000 + silent_ms)).len()
 }
 
@@ -349,7 +349,7 @@
 fn slower_streams_are_given_more_time() {
     let (mut fleet, chain) = passing(3);
     for event in 0..600 {
-        fleet.progress(&chain, Some(Duration::from_millis(160)), at(1_000 + event));
+        fleet.record_progress(&chain, Some(Duration::from_millis(160)), at(1_000 + event));
     }
     assert!(fleet.stalled(at(1_800)).is_empty());
     assert_eq!(fleet.stalled(at(1_900)).len(), 2);
