--- a/mimosafront/src/relay/plain.rs
+++ b/mimosafront/src/relay/plain.rs
@@ -72,7 +72,7 @@
         }
         let now = clock::now();
         let zone = job.front.node().zone.clone();
-        let hop = job.front.fleet.borrow().pick(&job.service.name, &zone, &tried, now);
+        let hop = job.front.fleet.borrow().choose_endpoint(&job.service.name, &zone, &tried, now);
         let Some(hop) = hop else { break };
         let attempt = tried.len() as u32 + 1;
         if attempt > 1 {
--- a/mimosashift/src/fleet/plain.rs
+++ b/mimosashift/src/fleet/plain.rs
@@ -21,7 +21,13 @@
 impl Fleet {
     /// The endpoint for a request to a plain service, without those in
     /// `avoid`; `None` when all are full or none is left.
-    pub fn pick(&self, service: &str, zone: &str, avoid: &[Arc<str>], now: Instant) -> Option<Hop> {
+    pub fn choose_endpoint(
+        &self,
+        service: &str,
+        zone: &str,
+        avoid: &[Arc<str>],
+        now: Instant,
+    ) -> Option<Hop> {
         let usable = |m: &&Member| {
             &*m.endpoint.service == service
                 && m.takes_work()
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -238,19 +238,19 @@
 #[test]
 fn plain_request_goes_to_the_least_loaded_and_not_to_a_failing_one() {
     let mut fleet = fleet(vec![plain(1, "a"), plain(2, "b"), plain(3, "b")]);
-    let first = fleet.pick(PLAIN, "a", &[], at(10)).unwrap();
+    let first = fleet.choose_endpoint(PLAIN, "a", &[], at(10)).unwrap();
     assert_eq!(&*first.id, "e1");
     fleet.take(&first);
     fleet.record_answer("e2", false);
-    assert_eq!(&*fleet.pick(PLAIN, "a", &[], at(10)).unwrap().id, "e3");
+    assert_eq!(&*fleet.choose_endpoint(PLAIN, "a", &[], at(10)).unwrap().id, "e3");
     fleet.give(&first);
-    assert_eq!(&*fleet.pick(PLAIN, "a", &[], at(10)).unwrap().id, "e1");
+    assert_eq!(&*fleet.choose_endpoint(PLAIN, "a", &[], at(10)).unwrap().id, "e1");
 }
 
 #[test]
 fn doubted_endpoint_returns_and_is_doubted_for_longer() {
     let mut fleet = fleet(vec![plain(1, "a"), plain(2, "b")]);
-    let picked = |fleet: &Fleet, ms| fleet.pick(PLAIN, "a", &[], at(ms)).unwrap().id;
+    let picked = |fleet: &Fleet, ms| fleet.choose_endpoint(PLAIN, "a", &[], at(ms)).unwrap().id;
     fleet.record_failure("e1", at(0));
     fleet.record_answer("e1", true);
     assert_eq!(&*picked(&fleet, 399), "e2");
@@ -266,7 +266,7 @@
 fn last_endpoint_is_used_though_it_failed() {
     let mut plain = fleet(vec![plain(1, "a")]);
     plain.record_failure("e1", at(0));
-    assert!(plain.pick(PLAIN, "a", &[], at(1)).is_some());
+    assert!(plain.choose_endpoint(PLAIN, "a", &[], at(1)).is_some());
     let mut fleet = fleet(two_zones());
     fleet.record_failure("e1", at(99));
     fleet.record_failure("e3", at(99));
