--- a/mimosafront/src/relay/plain.rs
+++ b/mimosafront/src/relay/plain.rs
@@ -119,7 +119,7 @@
 /// if no good answer comes.
 async fn send(job: &Job, hop: &Hop, attempt: u32, again: bool) -> Sent {
     let front = &job.front;
-    front.fleet.borrow_mut().take(hop);
+    front.fleet.borrow_mut().add_request(hop);
     let _place = Place(front, hop.clone());
     let lost_after = (job.route.objective * LOST_AFTER).max(MIN_LOST_AFTER);
     let time = if again { job.left().min(lost_after) } else { job.left() };
--- a/mimosashift/src/fleet/plain.rs
+++ b/mimosashift/src/fleet/plain.rs
@@ -52,13 +52,13 @@
     }
 
     /// Counts a request at the endpoint of a plain service.
-    pub fn take(&mut self, hop: &Hop) {
+    pub fn add_request(&mut self, hop: &Hop) {
         if let Some(member) = self.members.get_mut(&hop.id) {
             member.own.add(&Usage { requests: 1, ..Usage::default() });
         }
     }
 
-    /// Gives back what [`take`](Self::take) counted.
+    /// Gives back what [`add_request`](Self::add_request) counted.
     pub fn give(&mut self, hop: &Hop) {
         let member = self.members.get_mut(&hop.id);
         if let Some(member) = member.filter(|m| m.endpoint.incarnation == hop.incarnation) {
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -240,7 +240,7 @@
     let mut fleet = fleet(vec![plain(1, "a"), plain(2, "b"), plain(3, "b")]);
     let first = fleet.choose_endpoint(PLAIN, "a", &[], at(10)).unwrap();
     assert_eq!(&*first.id, "e1");
-    fleet.take(&first);
+    fleet.add_request(&first);
     fleet.record_answer("e2", false);
     assert_eq!(&*fleet.choose_endpoint(PLAIN, "a", &[], at(10)).unwrap().id, "e3");
     fleet.give(&first);
