--- a/mimosafront/src/relay/plain.rs
+++ b/mimosafront/src/relay/plain.rs
@@ -53,7 +53,7 @@
 
 impl Drop for Place<'_> {
     fn drop(&mut self) {
-        self.0.fleet.borrow_mut().give(&self.1);
+        self.0.fleet.borrow_mut().remove_request(&self.1);
     }
 }
 
--- a/mimosashift/src/fleet/plain.rs
+++ b/mimosashift/src/fleet/plain.rs
@@ -59,7 +59,7 @@
     }
 
     /// Gives back what [`add_request`](Self::add_request) counted.
-    pub fn give(&mut self, hop: &Hop) {
+    pub fn remove_request(&mut self, hop: &Hop) {
         let member = self.members.get_mut(&hop.id);
         if let Some(member) = member.filter(|m| m.endpoint.incarnation == hop.incarnation) {
             member.own.subtract(&Usage { requests: 1, ..Usage::default() });
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -243,7 +243,7 @@
     fleet.add_request(&first);
     fleet.record_answer("e2", false);
     assert_eq!(&*fleet.choose_endpoint(PLAIN, "a", &[], at(10)).unwrap().id, "e3");
-    fleet.give(&first);
+    fleet.remove_request(&first);
     assert_eq!(&*fleet.choose_endpoint(PLAIN, "a", &[], at(10)).unwrap().id, "e1");
 }
 
