--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -147,7 +147,7 @@
     if !front.leads.get() && digest.zone != front.node().zone {
         return;
     }
-    let hops = front.fleet.borrow().named(&digest.dead);
+    let hops = front.fleet.borrow().hops_by_key(&digest.dead);
     for hop in hops {
         let front = front.clone();
         // What it finds is noted with the endpoint.
--- a/mimosashift/src/fleet/vitals.rs
+++ b/mimosashift/src/fleet/vitals.rs
@@ -132,7 +132,7 @@
 
     /// Endpoints by their short names and incarnations, without those that are
     /// known to be dead.
-    pub fn named(&self, names: &[(u64, u64)]) -> Vec<Hop> {
+    pub fn hops_by_key(&self, names: &[(u64, u64)]) -> Vec<Hop> {
         let named = |m: &&Member| m.dead_since.is_none() && names.contains(&m.key());
         if names.is_empty() {
             return Vec::new();
