--- a/mimosafront/src/probe.rs
+++ b/mimosafront/src/probe.rs
@@ -110,7 +110,7 @@
             let fleet = front.fleet.borrow();
             let mut hops = fleet.stalled(clock::now());
             hops.extend(fleet.overdue(clock::now()));
-            let closed = closed.iter().filter_map(|address| fleet.at(*address));
+            let closed = closed.iter().filter_map(|address| fleet.member_at(*address));
             hops.extend(closed.filter_map(|member| member.hop()));
             hops
         };
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -348,7 +348,7 @@
     }
 
     /// The endpoint that listens at an address.
-    pub fn at(&self, address: SocketAddr) -> Option<&Member> {
+    pub fn member_at(&self, address: SocketAddr) -> Option<&Member> {
         self.members.values().find(|member| member.endpoint.address == address)
     }
 
