--- a/mimosafront/src/probe.rs
+++ b/mimosafront/src/probe.rs
@@ -109,7 +109,7 @@
         let hops = {
             let fleet = front.fleet.borrow();
             let mut hops = fleet.stalled(clock::now());
-            hops.extend(fleet.overdue(clock::now()));
+            hops.extend(fleet.due_for_probe(clock::now()));
             let closed = closed.iter().filter_map(|address| fleet.member_at(*address));
             hops.extend(closed.filter_map(|member| member.hop()));
             hops
--- a/mimosashift/src/fleet/vitals.rs
+++ b/mimosashift/src/fleet/vitals.rs
@@ -126,7 +126,7 @@
     }
 
     /// The dead endpoints that are to be asked again.
-    pub fn overdue(&self, now: Instant) -> Vec<Hop> {
+    pub fn due_for_probe(&self, now: Instant) -> Vec<Hop> {
         self.dead().filter(|member| now >= member.doubted_until).filter_map(Member::hop).collect()
     }
 
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -365,8 +365,8 @@
         fleet.chain(&query(&huge(), &USUAL), at(60_000)).map(|chain| chain[0].id.to_string())
     };
     assert_eq!(begins(&fleet).unwrap(), "e3");
-    assert_eq!(fleet.overdue(at(11)).len(), 0);
-    assert_eq!(fleet.overdue(at(60_000)).len(), 1);
+    assert_eq!(fleet.due_for_probe(at(11)).len(), 0);
+    assert_eq!(fleet.due_for_probe(at(60_000)).len(), 1);
     fleet.mark_dead("e3", at(20));
     assert_eq!(begins(&fleet), Err(Shortage::Uncovered(0)));
     let report = Report { incarnation: 1, layers: Some(layers(0, 40)), ..Report::default() };
