--- a/mimosashift/src/fleet/plain.rs
+++ b/mimosashift/src/fleet/plain.rs
@@ -67,7 +67,7 @@
     }
 
     /// Endpoints of a service that get new work.
-    pub fn usable(&self, service: &str, now: Instant) -> usize {
+    pub fn usable_count(&self, service: &str, now: Instant) -> usize {
         let of = |m: &&Member| &*m.endpoint.service == service && m.is_usable(now);
         self.members.values().filter(of).count()
     }
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -316,7 +316,7 @@
     let entries: Vec<_> =
         (1..=12).map(|n| zone(n, "a")).chain((13..=24).map(|n| zone(n, "b"))).collect();
     let mut fleet = fleet(entries);
-    let usable = |fleet: &Fleet| fleet.usable(MODEL, at(1_001));
+    let usable = |fleet: &Fleet| fleet.usable_count(MODEL, at(1_001));
     for id in ["e1", "e2"] {
         fleet.record_failure(id, at(1_000));
     }
