--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -282,7 +282,7 @@
         let zone = self.front().node().zone.clone();
         let query = self.query(&zone, &self.demand, None, &self.avoid);
         let layer = shortage.layer();
-        let holders = self.front().fleet.borrow().holders(&query, layer, clock::now());
+        let holders = self.front().fleet.borrow().describe_holders(&query, layer, clock::now());
         let waiting = self.front().pressure.borrow().waiting();
         emit!(self.front().log, Event::LayerShort, "request" => &*self.job.id, "layer" => layer, "holders" => holders, "waiting" => waiting);
     }
--- a/mimosashift/src/fleet/holder.rs
+++ b/mimosashift/src/fleet/holder.rs
@@ -8,7 +8,7 @@
 impl Fleet {
     /// Every endpoint that holds a layer, how full it is and why it gets no
     /// new work, as in `i-1 0.97, i-2 0.40 doubted`.
-    pub fn holders(&self, query: &Query<'_>, layer: u16, now: Instant) -> String {
+    pub fn describe_holders(&self, query: &Query<'_>, layer: u16, now: Instant) -> String {
         let holds = |member: &&Member| {
             let layers = member.endpoint.layers;
             &*member.endpoint.service == query.service
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -427,6 +427,6 @@
     let mut fleet = fleet(two_zones());
     fleet.record_cache_full("e1", at(50));
     fleet.record_failure("e3", at(50));
-    let text = fleet.holders(&query(&huge(), &USUAL), 7, at(60));
+    let text = fleet.describe_holders(&query(&huge(), &USUAL), 7, at(60));
     assert_eq!(text, "e1 0.00 crowded, e3 0.00 doubted");
 }
