--- a/mimosafront/src/relay/model/pump.rs
+++ b/mimosafront/src/relay/model/pump.rs
@@ -234,7 +234,7 @@
         let pause = (self.passed > 0).then(|| now.since(self.pauses.last));
         if let Some(claim) = &mut self.claim {
             fleet.record_progress(&claim.chain, pause, now);
-            fleet.begin(claim);
+            fleet.finish_prefill(claim);
             fleet.grow(claim, written);
         }
         if let Some(pause) = pause {
--- a/mimosashift/src/fleet/claim.rs
+++ b/mimosashift/src/fleet/claim.rs
@@ -30,7 +30,7 @@
     }
 
     /// Notes that an event has come, so that every part has read its tokens.
-    pub fn begin(&mut self, claim: &mut Claim) {
+    pub fn finish_prefill(&mut self, claim: &mut Claim) {
         if !claim.begun || claim.reading.contains(&true) {
             self.count(claim, false);
             claim.begun = true;
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -130,7 +130,7 @@
 fn released_claims_leave_nothing_behind() {
     let mut fleet = fleet(two_zones());
     let mut claim = fleet.claim(choose(&fleet, &USUAL).unwrap(), &USUAL);
-    fleet.begin(&mut claim);
+    fleet.finish_prefill(&mut claim);
     fleet.release(&claim);
     assert!(fleet.digest().is_empty());
 }
@@ -331,7 +331,7 @@
     let chain = choose(&fleet, &USUAL).unwrap();
     for _ in 0..streams {
         let mut claim = fleet.claim(chain.clone(), &USUAL);
-        fleet.begin(&mut claim);
+        fleet.finish_prefill(&mut claim);
     }
     (fleet, chain)
 }
@@ -410,14 +410,14 @@
     let mut fleet = fleet(two_zones());
     let chain = choose(&fleet, &USUAL).unwrap();
     let mut claim = fleet.claim(chain.clone(), &USUAL);
-    fleet.begin(&mut claim);
+    fleet.finish_prefill(&mut claim);
     let mut moved = chain.clone();
     moved[1].id = "e4".into();
     fleet.reroute(&mut claim, moved);
     let reading: Vec<_> =
         fleet.digest().into_iter().filter(|(_, usage)| usage.prefill > 0.0).collect();
     assert_eq!(reading.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [endpoint_key("e4")]);
-    fleet.begin(&mut claim);
+    fleet.finish_prefill(&mut claim);
     fleet.release(&claim);
     assert!(fleet.digest().is_empty());
 }
