--- a/mimosafront/src/front.rs
+++ b/mimosafront/src/front.rs
@@ -8,12 +8,12 @@
 
 use mimosaplatform::store::Store;
 use mimosashift::admit::pressure::Pressure;
-use mimosashift::currency::Currency;
 use mimosashift::deployment::{Deployment, Node};
 use mimosashift::emit;
 use mimosashift::event::{Event, Logger};
 use mimosashift::exchange::Report;
 use mimosashift::fleet::{Fleet, Member, Observed};
+use mimosashift::freshness::Freshness;
 use mimosashift::link::{self, Pool};
 use mimosashift::meter::Meter;
 use mimosashift::peer::Peers;
@@ -48,7 +48,7 @@
     /// Configuration in force, with its text for peers.
     pub deployment: RefCell<Option<Installed>>,
     /// When the configuration was last confirmed.
-    pub currency: Cell<Currency>,
+    pub currency: Cell<Freshness>,
     /// Endpoints.
     pub fleet: RefCell<Fleet>,
     /// Other routers.
@@ -203,7 +203,7 @@
     /// Whether keys may be used.
     pub fn keys_are_current(&self) -> bool {
         let bound = self.node.borrow().bounds.revocation;
-        bound.is_none_or(|bound| self.currency.get().is_current(bound, clock::now()))
+        bound.is_none_or(|bound| self.currency.get().is_fresh(bound, clock::now()))
     }
 
     /// Counts a new request to a service, which earns it a part of a retry.
--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -165,7 +165,7 @@
 ) {
     if let Some(relayed) = digest.relayed() {
         let mut currency = front.currency.get();
-        if currency.relay(&relayed, front.revision()) {
+        if currency.confirm_from_peer(&relayed, front.revision()) {
             front.currency.set(currency);
             front.confirmed.notify_waiters();
         }
--- a/mimosashift/src/currency.rs
+++ b/mimosashift/src/freshness.rs
@@ -13,22 +13,22 @@
 
 /// When the installed configuration was last known to be the newest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Currency {
+pub struct Freshness {
     confirmed: Option<Instant>,
 }
 
 /// A confirmation that a peer passes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Relayed {
+pub struct PeerConfirmation {
     /// When this router sent the stamp that the peer returned.
-    pub asked: Instant,
+    pub request_sent: Instant,
     /// Revision that the peer holds.
     pub revision: u64,
     /// How long ago the peer's confirmation was when it answered.
     pub age: Duration,
 }
 
-impl Currency {
+impl Freshness {
     /// Takes in a reading of the store that began at `began` and showed the
     /// installed configuration to be the newest.
     pub fn confirm(&mut self, began: Instant) {
@@ -37,11 +37,11 @@
 
     /// Takes in a peer's confirmation, if it speaks of what is installed;
     /// false when the peer holds a newer revision.
-    pub fn relay(&mut self, relayed: &Relayed, installed: u64) -> bool {
+    pub fn confirm_from_peer(&mut self, relayed: &PeerConfirmation, installed: u64) -> bool {
         if relayed.revision > installed {
             return false;
         }
-        self.confirm(relayed.asked - relayed.age);
+        self.confirm(relayed.request_sent - relayed.age);
         true
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Whether keys may be used under a bound.
-    pub fn is_current(&self, bound: Duration, now: Instant) -> bool {
+    pub fn is_fresh(&self, bound: Duration, now: Instant) -> bool {
         self.age(now).is_some_and(|age| age < bound - bound / MARGIN_DIVISOR)
     }
 }
--- a/mimosashift/src/lib.rs
+++ b/mimosashift/src/lib.rs
@@ -6,12 +6,12 @@
 
 pub mod admit;
 pub mod config;
-pub mod currency;
 pub mod deployment;
 pub mod engine;
 pub mod event;
 pub mod exchange;
 pub mod fleet;
+pub mod freshness;
 pub mod health;
 pub mod http;
 pub mod layout;
--- a/mimosashift/src/peer/mod.rs
+++ b/mimosashift/src/peer/mod.rs
@@ -10,8 +10,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::currency::Relayed;
 use crate::fleet::{Observed, Usage};
+use crate::freshness::PeerConfirmation;
 use crate::time::Instant;
 
 /// Shortest time between two digests to a peer of the own zone.
@@ -286,9 +286,9 @@
 impl Digest {
     /// The confirmation of the configuration that it passes on, if it returns
     /// a stamp from which its age can be counted.
-    pub fn relayed(&self) -> Option<Relayed> {
+    pub fn relayed(&self) -> Option<PeerConfirmation> {
         let Config { revision, age } = self.config?;
-        Some(Relayed { asked: self.echo?, revision, age: age? })
+        Some(PeerConfirmation { request_sent: self.echo?, revision, age: age? })
     }
 
     /// Keeps the use of the endpoints that are used most, and a few dead ones.
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use mimosashift::admit::pressure::{MAX_WAIT, Pressure};
-use mimosashift::currency::{Currency, Relayed};
 use mimosashift::deployment::{Denied, Deployment, Kind, Limits, Route, Service, Team};
+use mimosashift::freshness::{Freshness, PeerConfirmation};
 use mimosashift::peer::{Config, Digest, Event, Peers};
 use mimosashift::pipeline::retry::{Bound, Window};
 use mimosashift::stream::Events;
@@ -88,11 +88,11 @@
 
 #[test]
 fn key_is_used_within_the_bound_after_a_reading_began() {
-    let mut currency = Currency::default();
-    assert!(!currency.is_current(5 * S, at(0)));
+    let mut currency = Freshness::default();
+    assert!(!currency.is_fresh(5 * S, at(0)));
     currency.confirm(at(1_000));
-    assert!(currency.is_current(5 * S, at(5_700)));
-    assert!(!currency.is_current(5 * S, at(5_750)));
+    assert!(currency.is_fresh(5 * S, at(5_700)));
+    assert!(!currency.is_fresh(5 * S, at(5_750)));
     currency.confirm(at(500));
     assert_eq!(
         currency.age(at(1_000)),
@@ -103,12 +103,12 @@
 
 #[test]
 fn relayed_confirmation_counts_from_before_it_was_asked_for() {
-    let mut currency = Currency::default();
-    let relayed = Relayed { asked: at(2_000), revision: 7, age: 300 * S / 1_000 };
-    assert!(!currency.relay(&relayed, 6), "the peer holds a newer revision");
+    let mut currency = Freshness::default();
+    let relayed = PeerConfirmation { request_sent: at(2_000), revision: 7, age: 300 * S / 1_000 };
+    assert!(!currency.confirm_from_peer(&relayed, 6), "the peer holds a newer revision");
     assert_eq!(currency.age(at(2_000)), None);
     // However long the answer took, the age counts from the question.
-    assert!(currency.relay(&relayed, 7));
+    assert!(currency.confirm_from_peer(&relayed, 7));
     assert_eq!(currency.age(at(9_000)), Some(Duration::from_millis(7_300)));
 }
 
@@ -304,7 +304,10 @@
     let mut told = Digest { config, ..digest("r2", 1, 1) };
     assert_eq!(told.relayed(), None);
     told.echo = Some(at(500));
-    assert_eq!(told.relayed(), Some(Relayed { asked: at(500), revision: 7, age: S }));
+    assert_eq!(
+        told.relayed(),
+        Some(PeerConfirmation { request_sent: at(500), revision: 7, age: S })
+    );
 }
 
 /// Retries in any window stay within the ratio and the extra ones, also when
