--- a/mimosabench/src/policy/router.rs
+++ b/mimosabench/src/policy/router.rs
@@ -5,7 +5,7 @@
 
 use mimosashift::admit::{self, Admission, Bounds, Ticket};
 use mimosashift::engine::{Failure, RequestId, Step};
-use mimosashift::health::{self, Exchange, Registry, Standing, View};
+use mimosashift::health::{self, Availability, Exchange, Registry, View};
 use mimosashift::pipeline::recovery::Cost;
 use mimosashift::pipeline::retry::{Budget, Share};
 use mimosashift::pipeline::{Context, Replacement, Request, Scope};
@@ -147,7 +147,8 @@
             .ok()?
             .chain;
         let health = &self.health;
-        let readable = |name: &Name| health.condition(name, now).standing != Standing::Unreachable;
+        let readable =
+            |name: &Name| health.condition(name, now).availability != Availability::Unreachable;
         let names = old.stages().iter().map(|stage| stage.endpoint.clone());
         let holders = names.filter(readable).collect();
         self.follow(held, chain.clone(), now);
--- a/mimosashift/src/health/ejection.rs
+++ b/mimosashift/src/health/ejection.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-use super::{Settings, Standing};
+use super::{Availability, Settings};
 use crate::time::Instant;
 
 /// Weight of an endpoint at the moment that its ejection ends.
@@ -15,7 +15,7 @@
 /// The newest ejection of an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Ejection {
-    current: Option<(Standing, Instant)>,
+    current: Option<(Availability, Instant)>,
     count: u8,
 }
 
@@ -23,7 +23,7 @@
     /// Ejects until a time that doubles with each ejection.
     pub(super) fn eject(
         &mut self,
-        cause: Standing,
+        cause: Availability,
         settings: &Settings,
         now: Instant,
         rng: &mut Pcg64Mcg,
@@ -37,10 +37,10 @@
         self.current = Some((cause, now + time));
     }
 
-    pub(super) fn standing(&self, now: Instant) -> Standing {
+    pub(super) fn availability(&self, now: Instant) -> Availability {
         match self.current {
             Some((cause, until)) if now < until => cause,
-            _ => Standing::Live,
+            _ => Availability::Live,
         }
     }
 
--- a/mimosashift/src/health/mod.rs
+++ b/mimosashift/src/health/mod.rs
@@ -51,7 +51,7 @@
 
 /// How far an endpoint may be used; a later value is worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Standing {
+pub enum Availability {
     /// It takes work.
     Live,
     /// It is ejected as a slow outlier: used only without a live alternative.
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Condition {
     /// How far it may be used.
-    pub standing: Standing,
+    pub availability: Availability,
     /// Sequences running or waiting, with this router's work since the report.
     pub sequences: u32,
     /// Observed service time over declared service time.
@@ -89,7 +89,7 @@
 impl Condition {
     /// A live endpoint without work, as declared.
     pub const IDLE: Self = Self {
-        standing: Standing::Live,
+        availability: Availability::Live,
         sequences: 0,
         service_factor: 1.0,
         link_factor: 1.0,
--- a/mimosashift/src/health/registry.rs
+++ b/mimosashift/src/health/registry.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::state::{Declared, State};
-use super::{Condition, Error, Report, Settings, Share, Standing, View};
+use super::{Availability, Condition, Error, Report, Settings, Share, View};
 use crate::engine::{Failure, Load};
 use crate::resource::{Endpoint, Name, Role, Snapshot};
 use crate::route::Distances;
@@ -124,8 +124,8 @@
             Failure::Unreachable(_) | Failure::Silent(_) | Failure::Malformed(_) => {
                 state.failures = state.failures.saturating_add(1);
                 let limit = self.settings.consecutive_failures;
-                if state.failures >= limit && state.standing(now) < Standing::Unreachable {
-                    state.ejection.eject(Standing::Unreachable, &self.settings, now, rng);
+                if state.failures >= limit && state.availability(now) < Availability::Unreachable {
+                    state.ejection.eject(Availability::Unreachable, &self.settings, now, rng);
                 }
             }
         }
@@ -183,7 +183,7 @@
         outliers.sort();
         for name in &outliers {
             let state = self.states.get_mut(name).expect("outliers are taken from the states");
-            state.ejection.eject(Standing::Slow, &self.settings, now, rng);
+            state.ejection.eject(Availability::Slow, &self.settings, now, rng);
         }
     }
 
@@ -227,8 +227,9 @@
     /// Members that may be ejected as outliers, of a group in order of
     /// falling slowness.
     fn outliers<'a>(&self, members: &[(f32, &'a Name)], now: Instant) -> Vec<&'a Name> {
-        let standing = |name: &Name| self.states[name].standing(now);
-        let ejected = members.iter().filter(|(_, name)| standing(name) != Standing::Live).count();
+        let availability = |name: &Name| self.states[name].availability(now);
+        let ejected =
+            members.iter().filter(|(_, name)| availability(name) != Availability::Live).count();
         let allowed = (members.len() as f64 * self.settings.max_ejected_share) as usize;
         let median = members[members.len() / 2].0;
         let limit = median.max(1.0) * self.settings.outlier_ratio;
@@ -236,7 +237,7 @@
             .iter()
             .take_while(|(slowness, _)| *slowness >= limit)
             .map(|(_, name)| *name)
-            .filter(|name| standing(name) == Standing::Live)
+            .filter(|name| availability(name) == Availability::Live)
             .filter(|name| self.states[*name].samples >= self.settings.outlier_samples)
             .take(allowed.saturating_sub(ejected))
             .collect()
--- a/mimosashift/src/health/state.rs
+++ b/mimosashift/src/health/state.rs
@@ -5,7 +5,7 @@
 use super::ejection::Ejection;
 use super::factor::Factor;
 use super::leaving::Marks;
-use super::{Condition, Report, Settings, Standing, model};
+use super::{Availability, Condition, Report, Settings, model};
 use crate::engine::Load;
 use crate::time::Instant;
 
@@ -127,11 +127,11 @@
         reported.saturating_sub(self.finished).saturating_add(begun)
     }
 
-    pub(super) fn standing(&self, now: Instant) -> Standing {
+    pub(super) fn availability(&self, now: Instant) -> Availability {
         if self.is_leaving() {
-            return Standing::Leaving;
+            return Availability::Leaving;
         }
-        self.ejection.standing(now)
+        self.ejection.availability(now)
     }
 
     pub(super) fn is_leaving(&self) -> bool {
@@ -161,7 +161,7 @@
 
     pub(super) fn condition(&self, settings: &Settings, routers: u32, now: Instant) -> Condition {
         Condition {
-            standing: self.standing(now),
+            availability: self.availability(now),
             sequences: self.sequences(routers),
             service_factor: self.service.at(now),
             link_factor: self.link.at(now),
--- a/mimosashift/src/node/operators/queries.rs
+++ b/mimosashift/src/node/operators/queries.rs
@@ -187,7 +187,7 @@
         json!({
             "name": name,
             "domain": domain,
-            "standing": format!("{:?}", condition.standing).to_lowercase(),
+            "standing": format!("{:?}", condition.availability).to_lowercase(),
             "sequences": condition.sequences,
             "overloaded": condition.overloaded,
             "weight": condition.weight,
@@ -208,7 +208,7 @@
         "layers": candidate.layers,
         "endpoint": candidate.endpoint,
         "domain": candidate.domain,
-        "standing": format!("{:?}", candidate.condition.standing).to_lowercase(),
+        "standing": format!("{:?}", candidate.condition.availability).to_lowercase(),
         "estimate": estimate,
     })
 }
--- a/mimosashift/src/node/relay.rs
+++ b/mimosashift/src/node/relay.rs
@@ -17,7 +17,7 @@
 use crate::engine::http::Import;
 use crate::engine::{Failure, Label, Output, Reply, RequestId, Step};
 use crate::event::Event;
-use crate::health::{Exchange, Standing, View};
+use crate::health::{Availability, Exchange, View};
 use crate::pipeline::{
     Action, Actions, Context, Limits, Machine, Outcome, Replacement, Request, Scope,
 };
@@ -234,7 +234,8 @@
             .chain;
         let now = self.node.clock.now();
         let health = self.node.lock_health();
-        let readable = |name: &Name| health.condition(name, now).standing != Standing::Unreachable;
+        let readable =
+            |name: &Name| health.condition(name, now).availability != Availability::Unreachable;
         let stages = old.stages().iter();
         let holders = stages.map(|s| s.endpoint.clone()).filter(readable).collect();
         drop(health);
--- a/mimosashift/src/node/services.rs
+++ b/mimosashift/src/node/services.rs
@@ -7,7 +7,7 @@
 use super::Node;
 use super::installed::Installed;
 use super::postings;
-use crate::health::{Exchange, Standing, View};
+use crate::health::{Availability, Exchange, View};
 use crate::http::client::{Answer, Call, Failure};
 use crate::http::problem::{Effect, Problem};
 use crate::http::{Request, Responder};
@@ -77,9 +77,9 @@
     candidates
         .filter(|(name, endpoint)| serves(endpoint) && !tried.contains(name))
         .map(|(name, endpoint)| (health.condition(name, now), name, endpoint))
-        .filter(|(condition, ..)| condition.standing != Standing::Leaving)
+        .filter(|(condition, ..)| condition.availability != Availability::Leaving)
         .min_by_key(|(condition, _, endpoint)| {
-            (condition.standing, endpoint.domain != *own, condition.sequences)
+            (condition.availability, endpoint.domain != *own, condition.sequences)
         })
         .map(|(_, name, endpoint)| (name, endpoint))
 }
--- a/mimosashift/src/route/choose.rs
+++ b/mimosashift/src/route/choose.rs
@@ -12,7 +12,7 @@
 use super::search::{Leg, Search};
 use super::table::{Holder, Model, Segment};
 use super::{Ask, Chain, Refusal, Stage, Table, explain};
-use crate::health::{Standing, View};
+use crate::health::{Availability, View};
 use crate::resource::{Layers, Name};
 use crate::time::Instant;
 
@@ -241,7 +241,8 @@
     /// Says why no chain exists.
     fn refusal(&self, model: &Model) -> Refusal {
         let pipeline = self.ask.pipeline.clone();
-        if let Some(layers) = self.first_without(model, |standing| standing < Standing::Leaving) {
+        if let Some(layers) = self.first_without(model, |standing| standing < Availability::Leaving)
+        {
             let version = self.ask.version;
             return Refusal::NoHolder { pipeline, version, layers };
         }
@@ -250,10 +251,14 @@
     }
 
     /// The first layers to be given out for which no holder is `usable`.
-    fn first_without(&self, model: &Model, usable: impl Fn(Standing) -> bool) -> Option<Layers> {
+    fn first_without(
+        &self,
+        model: &Model,
+        usable: impl Fn(Availability) -> bool,
+    ) -> Option<Layers> {
         let is_usable = |holder: &Holder| {
             let entry = &self.table.entries[holder.entry as usize];
-            let standing = self.health.condition(&entry.name, self.now).standing;
+            let standing = self.health.condition(&entry.name, self.now).availability;
             !self.is_avoided(&entry.name, &entry.domain) && usable(standing)
         };
         let is_kept = |range: &[u16]| {
--- a/mimosashift/src/route/cost.rs
+++ b/mimosashift/src/route/cost.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Ask, Settings};
-use crate::health::{Condition, Standing, model};
+use crate::health::{Availability, Condition, model};
 use crate::resource::{Engine, Snapshot};
 
 /// Added to the cost of a returning endpoint that sits this choice out; more
@@ -71,7 +71,7 @@
         condition: &Condition,
         settings: &Settings,
     ) -> Option<Estimate> {
-        if condition.standing == Standing::Leaving || condition.overloaded {
+        if condition.availability == Availability::Leaving || condition.overloaded {
             return None;
         }
         // A sequence takes a slot only while it is at this stage.
@@ -88,10 +88,10 @@
             return None;
         }
         let link_us = f64::from(self.link_us(work) * condition.link_factor);
-        let penalty_us = match condition.standing {
-            Standing::Slow => SLOW_PENALTY_US,
-            Standing::Unreachable => UNREACHABLE_PENALTY_US,
-            Standing::Live | Standing::Leaving => 0.0,
+        let penalty_us = match condition.availability {
+            Availability::Slow => SLOW_PENALTY_US,
+            Availability::Unreachable => UNREACHABLE_PENALTY_US,
+            Availability::Live | Availability::Leaving => 0.0,
         };
         Some(Estimate { wait_us, link_us, layer_us, penalty_us })
     }
--- a/mimosashift/tests/health.rs
+++ b/mimosashift/tests/health.rs
@@ -5,7 +5,7 @@
 
 use mimosashift::engine::{Failure, Load};
 use mimosashift::health::probe::{Router, poller};
-use mimosashift::health::{Exchange, Registry, Report, Settings, Share, Standing, View};
+use mimosashift::health::{Availability, Exchange, Registry, Report, Settings, Share, View};
 use mimosashift::resource::{Kind, Name, Resource, Snapshot, Spec};
 use mimosashift::route::Distances;
 use mimosashift::time::Instant;
@@ -121,9 +121,9 @@
     for _ in 0..2 {
         registry.fail(&e, failure, at(1), at(1), &mut rng);
     }
-    assert_eq!(registry.condition(&e, at(1)).standing, Standing::Live);
+    assert_eq!(registry.condition(&e, at(1)).availability, Availability::Live);
     registry.fail(&e, failure, at(1), at(1), &mut rng);
-    assert_eq!(registry.condition(&e, at(1)).standing == Standing::Unreachable, ejects);
+    assert_eq!(registry.condition(&e, at(1)).availability == Availability::Unreachable, ejects);
 }
 
 #[test]
@@ -134,7 +134,7 @@
         registry.fail(&e, &silent(), at(1), at(1), &mut rng);
         registry.succeed(&e, &step(400), at(1));
     }
-    assert_eq!(registry.condition(&e, at(1)).standing, Standing::Live);
+    assert_eq!(registry.condition(&e, at(1)).availability, Availability::Live);
 }
 
 #[test]
@@ -147,7 +147,7 @@
             registry.fail(&e, &silent(), now, now, &mut rng);
         }
         let start = now;
-        while registry.condition(&e, now).standing != Standing::Live {
+        while registry.condition(&e, now).availability != Availability::Live {
             now = now + Duration::from_millis(10);
         }
         lengths.push(now.since(start));
@@ -171,10 +171,10 @@
     for second in 1..4 {
         registry.sweep(at(second), &mut rng);
     }
-    let standing = |e: &Name| registry.condition(e, at(3)).standing;
-    let slow = endpoints(20).iter().filter(|e| standing(e) == Standing::Slow).count();
+    let availability = |e: &Name| registry.condition(e, at(3)).availability;
+    let slow = endpoints(20).iter().filter(|e| availability(e) == Availability::Slow).count();
     assert_eq!(slow, 6, "30% of 20");
-    assert!(endpoints(20)[9..].iter().all(|e| standing(e) == Standing::Live));
+    assert!(endpoints(20)[9..].iter().all(|e| availability(e) == Availability::Live));
 }
 
 #[test]
@@ -189,9 +189,9 @@
         registry.succeed(&name("e9"), &step(40_000), at(1));
     }
     registry.sweep(at(1), &mut rng);
-    let standing = |e: &Name| registry.condition(e, at(1)).standing;
-    assert!(endpoints(10)[..5].iter().all(|e| standing(e) == Standing::Unreachable));
-    assert_eq!(standing(&name("e9")), Standing::Live);
+    let availability = |e: &Name| registry.condition(e, at(1)).availability;
+    assert!(endpoints(10)[..5].iter().all(|e| availability(e) == Availability::Unreachable));
+    assert_eq!(availability(&name("e9")), Availability::Live);
 }
 
 /// Ways to learn that `e0`, polled at incarnation 1, is leaving.
@@ -226,13 +226,13 @@
     let (mut registry, e) = (registry(1), name("e0"));
     registry.poll(&e, 1, &running(0), 1, at(1));
     leave(&mut registry, source);
-    assert_eq!(registry.condition(&e, at(2)).standing, Standing::Leaving);
+    assert_eq!(registry.condition(&e, at(2)).availability, Availability::Leaving);
     registry.poll(&e, 1, &running(0), 3, at(3));
     registry.list(4, |_| false);
     registry.succeed(&e, &step(400), at(3));
-    assert_eq!(registry.condition(&e, at(3)).standing, Standing::Leaving);
+    assert_eq!(registry.condition(&e, at(3)).availability, Availability::Leaving);
     registry.poll(&e, 2, &running(0), 4, at(4));
-    assert_eq!(registry.condition(&e, at(4)).standing, Standing::Live);
+    assert_eq!(registry.condition(&e, at(4)).availability, Availability::Live);
 }
 
 #[test]
@@ -241,7 +241,7 @@
     registry.list(5, |_| true);
     registry.list(6, |_| false);
     registry.list(5, |_| true);
-    assert_eq!(registry.condition(&e, at(1)).standing, Standing::Live);
+    assert_eq!(registry.condition(&e, at(1)).availability, Availability::Live);
 }
 
 #[test_case(false; "polled")]
@@ -254,7 +254,7 @@
     poller.poll(&e, 2, &running(0), 2, at(5));
     registry.merge(&peer.share(at(0)), at(5));
     registry.fail(&e, &Failure::Leaving, at(2), at(6), &mut rng());
-    assert_eq!(registry.condition(&e, at(6)).standing, Standing::Live);
+    assert_eq!(registry.condition(&e, at(6)).availability, Availability::Live);
 }
 
 #[test]
@@ -263,12 +263,12 @@
     let mut peer = self::registry(1);
     peer.poll(&e, 1, &running(0), 1, at(2));
     registry.fail(&e, &Failure::Leaving, at(1), at(1), &mut rng());
-    assert_eq!(registry.condition(&e, at(1)).standing, Standing::Leaving);
+    assert_eq!(registry.condition(&e, at(1)).availability, Availability::Leaving);
     registry.merge(&peer.share(at(0)), at(2));
-    assert_eq!(registry.condition(&e, at(2)).standing, Standing::Leaving);
+    assert_eq!(registry.condition(&e, at(2)).availability, Availability::Leaving);
     peer.poll(&e, 2, &running(0), 2, at(3));
     registry.merge(&peer.share(at(0)), at(3));
-    assert_eq!(registry.condition(&e, at(3)).standing, Standing::Live);
+    assert_eq!(registry.condition(&e, at(3)).availability, Availability::Live);
 }
 
 #[test]
@@ -277,9 +277,9 @@
     registry.list(5, |_| false);
     registry.fail(&e, &Failure::Leaving, at(1), at(1), &mut rng());
     registry.list(5, |_| false);
-    assert_eq!(registry.condition(&e, at(1)).standing, Standing::Leaving);
+    assert_eq!(registry.condition(&e, at(1)).availability, Availability::Leaving);
     registry.list(6, |_| false);
-    assert_eq!(registry.condition(&e, at(1)).standing, Standing::Live);
+    assert_eq!(registry.condition(&e, at(1)).availability, Availability::Live);
 }
 
 #[test]
--- a/mimosashift/tests/route.rs
+++ b/mimosashift/tests/route.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use mimosashift::health::{Condition, Standing, View};
+use mimosashift::health::{Availability, Condition, View};
 use mimosashift::resource::{Kind, Layers, Name, Resource, Snapshot, Spec};
 use mimosashift::route::affinity::{self, Affinity, Event};
 use mimosashift::route::{
@@ -261,7 +261,7 @@
         let mut world = World::aligned(4, replicas, 11, &mut rng);
         for condition in world.health.0.values_mut() {
             if rng.random_bool(leaving) {
-                condition.standing = Standing::Leaving;
+                condition.availability = Availability::Leaving;
             }
         }
         let bound = 4 * world.settings.candidates as u32 * 2;
@@ -314,7 +314,10 @@
     let is_fast = |c: &Choice| c.chain.stages()[0].endpoint == name("fast");
     let fast = choices.iter().filter(|c| is_fast(c.as_ref().unwrap())).count();
     assert!((50..200).contains(&fast), "{fast}");
-    world.health.0.insert(name("slow"), Condition { standing: Standing::Slow, ..Condition::IDLE });
+    world
+        .health
+        .0
+        .insert(name("slow"), Condition { availability: Availability::Slow, ..Condition::IDLE });
     assert!(
         world
             .choose_many(&ask(&pipeline), 50, &mut rng)
@@ -326,11 +329,11 @@
 #[test]
 fn lone_live_endpoint_is_found_among_many() {
     let (pipeline, mut rng) = (name("p"), rng(1));
-    for spoilt in [Standing::Slow, Standing::Unreachable, Standing::Leaving] {
+    for spoilt in [Availability::Slow, Availability::Unreachable, Availability::Leaving] {
         let mut world = World::aligned(2, 500, 3, &mut rng);
         for (key, condition) in &mut world.health.0 {
             if !["e7", "e8"].contains(&key.as_str()) {
-                condition.standing = spoilt;
+                condition.availability = spoilt;
             }
         }
         let choice = world.choose(&ask(&pipeline), &mut rng).unwrap();
@@ -381,7 +384,7 @@
     let (pipeline, mut rng) = (name("p"), rng(1));
     let mut world = three_stages();
     let avoid = [name("b1"), name("c0"), name("c1")];
-    let leaving = Condition { standing: Standing::Leaving, ..Condition::IDLE };
+    let leaving = Condition { availability: Availability::Leaving, ..Condition::IDLE };
     world.health.0.insert(name("b0"), leaving);
     let refusal = world.choose(&Ask { avoid: &avoid, ..ask(&pipeline) }, &mut rng).unwrap_err();
     let layers = Layers::try_from((4, 12)).unwrap();
@@ -483,17 +486,14 @@
 }
 
 fn conditions() -> impl Strategy<Value = Condition> {
-    let standing = prop_oneof![
-        Just(Standing::Live),
-        Just(Standing::Slow),
-        Just(Standing::Unreachable),
-        Just(Standing::Leaving)
+    let availability = prop_oneof![
+        Just(Availability::Live),
+        Just(Availability::Slow),
+        Just(Availability::Unreachable),
+        Just(Availability::Leaving)
     ];
-    (standing, 0..60_u32, any::<bool>()).prop_map(|(standing, sequences, overloaded)| Condition {
-        standing,
-        sequences,
-        overloaded,
-        ..Condition::IDLE
+    (availability, 0..60_u32, any::<bool>()).prop_map(|(availability, sequences, overloaded)| {
+        Condition { availability, sequences, overloaded, ..Condition::IDLE }
     })
 }
 
@@ -520,7 +520,7 @@
         prop_assert_eq!(choice.is_ok(), best.is_some(), "{:?} {:?}", choice, best);
         for stage in choice.iter().flat_map(|choice| choice.chain.stages()) {
             let condition = world.health.condition(&stage.endpoint, NOW);
-            prop_assert!(condition.standing != Standing::Leaving && !condition.overloaded);
+            prop_assert!(condition.availability != Availability::Leaving && !condition.overloaded);
             prop_assert!(stage.endpoint != avoid[0]);
             prop_assert!(world.held(&stage.endpoint).contains(stage.layers));
         }
