--- a/mimosabench/src/policy/router.rs
+++ b/mimosabench/src/policy/router.rs
@@ -5,7 +5,7 @@
 
 use mimosashift::admit::{self, Admission, Bounds, Ticket};
 use mimosashift::engine::{Failure, RequestId, Step};
-use mimosashift::health::{self, Availability, Exchange, Registry, View};
+use mimosashift::health::{self, Availability, Exchange, HealthView, Registry};
 use mimosashift::pipeline::recovery::Cost;
 use mimosashift::pipeline::retry::{Budget, Share};
 use mimosashift::pipeline::{Context, Replacement, Request, Scope};
--- a/mimosashift/src/health/mod.rs
+++ b/mimosashift/src/health/mod.rs
@@ -81,7 +81,7 @@
 }
 
 /// Read access to endpoint state.
-pub trait View {
+pub trait HealthView {
     /// The state of `endpoint` at `now`; an unknown endpoint is live and idle.
     fn condition(&self, endpoint: &Name, now: Instant) -> Condition;
 }
--- a/mimosashift/src/health/registry.rs
+++ b/mimosashift/src/health/registry.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::state::{Declared, State};
-use super::{Availability, Condition, Error, Report, Settings, Share, View};
+use super::{Availability, Condition, Error, HealthView, Report, Settings, Share};
 use crate::engine::{Failure, Load};
 use crate::resource::{Endpoint, Name, Role, Snapshot};
 use crate::route::Distances;
@@ -244,7 +244,7 @@
     }
 }
 
-impl View for Registry {
+impl HealthView for Registry {
     fn condition(&self, endpoint: &Name, now: Instant) -> Condition {
         let state = self.states.get(endpoint);
         state.map_or(Condition::IDLE, |state| state.condition(&self.settings, self.routers, now))
--- a/mimosashift/src/node/operators/queries.rs
+++ b/mimosashift/src/node/operators/queries.rs
@@ -11,7 +11,7 @@
 use super::{Answer, Reply, not_found, number, parse_kind, parse_name};
 use crate::config::audit::{Audit, Filter};
 use crate::config::{ChangeId, Entry, Record, call};
-use crate::health::View;
+use crate::health::HealthView;
 use crate::http::Request;
 use crate::http::problem::Problem;
 use crate::member::{InForce, Liveness, Member};
--- a/mimosashift/src/node/relay.rs
+++ b/mimosashift/src/node/relay.rs
@@ -17,7 +17,7 @@
 use crate::engine::http::Import;
 use crate::engine::{Failure, Label, Output, Reply, RequestId, Step};
 use crate::event::Event;
-use crate::health::{Availability, Exchange, View};
+use crate::health::{Availability, Exchange, HealthView};
 use crate::pipeline::{
     Action, Actions, Context, Limits, Machine, Outcome, Replacement, Request, Scope,
 };
--- a/mimosashift/src/node/services.rs
+++ b/mimosashift/src/node/services.rs
@@ -7,7 +7,7 @@
 use super::Node;
 use super::installed::Installed;
 use super::postings;
-use crate::health::{Availability, Exchange, View};
+use crate::health::{Availability, Exchange, HealthView};
 use crate::http::client::{Answer, Call, Failure};
 use crate::http::problem::{Effect, Problem};
 use crate::http::{Request, Responder};
--- a/mimosashift/src/route/choose.rs
+++ b/mimosashift/src/route/choose.rs
@@ -12,7 +12,7 @@
 use super::search::{Leg, Search};
 use super::table::{Holder, Model, Segment};
 use super::{Ask, Chain, Refusal, Stage, Table, explain};
-use crate::health::{Availability, View};
+use crate::health::{Availability, HealthView};
 use crate::resource::{Layers, Name};
 use crate::time::Instant;
 
@@ -68,7 +68,7 @@
 impl Table {
     /// The chain with the least estimated completion time among a few
     /// candidates for each layer boundary.
-    pub fn choose<V: View>(
+    pub fn choose<V: HealthView>(
         &self,
         ask: &Ask<'_>,
         sources: &Sources<'_, V>,
@@ -96,7 +96,7 @@
         })
     }
 
-    pub(super) fn request<'a, V: View>(
+    pub(super) fn request<'a, V: HealthView>(
         &'a self,
         ask: &'a Ask<'a>,
         model: &Model,
@@ -110,7 +110,7 @@
 
     /// The best chain of endpoints that all cache the same prefix: a prefix
     /// saves work only where every stage has it.
-    fn cached<V: View>(
+    fn cached<V: HealthView>(
         &self,
         ask: &Ask<'_>,
         model: &Model,
@@ -148,7 +148,7 @@
     }
 }
 
-impl<V: View> Request<'_, V> {
+impl<V: HealthView> Request<'_, V> {
     /// Prices an endpoint; `None` when it must not be used.
     pub(super) fn candidate(
         &self,
--- a/mimosashift/src/route/explain.rs
+++ b/mimosashift/src/route/explain.rs
@@ -4,7 +4,7 @@
 
 use super::cost::Estimate;
 use super::{Ask, Refusal, Sources, Table};
-use crate::health::{Condition, View};
+use crate::health::{Condition, HealthView};
 use crate::resource::{Layers, Name};
 use crate::time::Instant;
 
@@ -27,7 +27,7 @@
 impl Table {
     /// Up to `limit` cheapest endpoints for each run of layers, cheapest
     /// first. Unlike a choice it looks at every holder and rolls no dice.
-    pub fn explain<V: View>(
+    pub fn explain<V: HealthView>(
         &self,
         ask: &Ask<'_>,
         sources: &Sources<'_, V>,
--- a/mimosashift/src/route/naive.rs
+++ b/mimosashift/src/route/naive.rs
@@ -5,7 +5,7 @@
 
 use super::cost::{Speed, Work};
 use super::{Ask, Chain, Distances, Settings, Stage};
-use crate::health::View;
+use crate::health::HealthView;
 use crate::resource::{Layers, Name, Role, Snapshot};
 use crate::time::Instant;
 
@@ -26,7 +26,7 @@
 
 /// The cheapest of all chains and its estimated time in microseconds, or
 /// `None` when no chain exists. Prefix caches and kept stages are left out.
-pub fn choose<V: View>(
+pub fn choose<V: HealthView>(
     snapshot: &Snapshot,
     distances: &Distances,
     settings: &Settings,
--- a/mimosashift/src/route/sample.rs
+++ b/mimosashift/src/route/sample.rs
@@ -7,7 +7,7 @@
 use super::choose::{Request, Stats};
 use super::cost::Estimate;
 use super::table::{Holder, Segment};
-use crate::health::View;
+use crate::health::HealthView;
 
 /// Share of candidates drawn from the own failure domain, when both the own
 /// and others have holders.
@@ -44,7 +44,7 @@
 ///
 /// When no draw gives a live candidate, every holder is looked at, so that an
 /// endpoint that can run the layers is always found.
-pub(super) fn draw<V: View>(
+pub(super) fn draw<V: HealthView>(
     segment: &Segment,
     request: &Request<'_, V>,
     stats: &mut Stats,
@@ -75,7 +75,7 @@
     share.max(wanted.saturating_sub(remote)).min(local)
 }
 
-fn draw_part<V: View>(
+fn draw_part<V: HealthView>(
     holders: &[Holder],
     quota: usize,
     request: &Request<'_, V>,
@@ -117,7 +117,7 @@
 
 /// Takes up to `limit` live candidates of `holders`, and the avoided ones
 /// that lie before them.
-fn collect<V: View>(
+fn collect<V: HealthView>(
     holders: &[Holder],
     limit: usize,
     request: &Request<'_, V>,
--- a/mimosashift/tests/health.rs
+++ b/mimosashift/tests/health.rs
@@ -5,7 +5,7 @@
 
 use mimosashift::engine::{Failure, Load};
 use mimosashift::health::probe::{Router, poller};
-use mimosashift::health::{Availability, Exchange, Registry, Report, Settings, Share, View};
+use mimosashift::health::{Availability, Exchange, HealthView, Registry, Report, Settings, Share};
 use mimosashift::resource::{Kind, Name, Resource, Snapshot, Spec};
 use mimosashift::route::Distances;
 use mimosashift::time::Instant;
--- a/mimosashift/tests/route.rs
+++ b/mimosashift/tests/route.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use mimosashift::health::{Availability, Condition, View};
+use mimosashift::health::{Availability, Condition, HealthView};
 use mimosashift::resource::{Kind, Layers, Name, Resource, Snapshot, Spec};
 use mimosashift::route::affinity::{self, Affinity, Event};
 use mimosashift::route::{
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 struct Health(HashMap<Name, Condition>);
 
-impl View for Health {
+impl HealthView for Health {
     fn condition(&self, endpoint: &Name, _now: Instant) -> Condition {
         self.0.get(endpoint).copied().unwrap_or(Condition::IDLE)
     }
