--- a/mimosabench/src/policy/run/routers.rs
+++ b/mimosabench/src/policy/run/routers.rs
@@ -34,7 +34,7 @@
         }
         let router = &mut self.routers[number];
         router.sweep(now);
-        let share = router.health.share(router.shared);
+        let share = router.health.reports_since(router.shared);
         router.shared = now;
         for other in up.into_iter().filter(|&other| other != number) {
             self.routers[other].health.merge(&share, now);
--- a/mimosabench/src/slopes/health.rs
+++ b/mimosabench/src/slopes/health.rs
@@ -1,7 +1,7 @@
 //! State of endpoints.
 
 use mimosashift::engine::Load;
-use mimosashift::health::{Registry, Settings, Share};
+use mimosashift::health::{Registry, ReportBatch, Settings};
 use mimosashift::resource::Snapshot;
 use mimosashift::time::Instant;
 use rand::SeedableRng;
@@ -31,7 +31,7 @@
         }),
         series([ROLE, "all reports merged", "µs", "endpoints"], &SIZES, |endpoints| {
             let snapshot = fleet::snapshot(0, endpoints);
-            let share = polled(&snapshot, NOW).share(Instant::ZERO);
+            let share = polled(&snapshot, NOW).reports_since(Instant::ZERO);
             let mut registry = install(&snapshot);
             cpu::micros_per_call(|| registry.merge(&share, NOW))
         }),
@@ -56,7 +56,8 @@
 
 /// Bytes of one report on each endpoint.
 pub fn share_bytes(endpoints: usize) -> usize {
-    let share: Share = polled(&fleet::snapshot(0, endpoints), NOW).share(Instant::ZERO);
+    let share: ReportBatch =
+        polled(&fleet::snapshot(0, endpoints), NOW).reports_since(Instant::ZERO);
     postcard::to_stdvec(&share).expect("reports can be encoded").len()
 }
 
--- a/mimosashift/src/health/mod.rs
+++ b/mimosashift/src/health/mod.rs
@@ -20,7 +20,7 @@
 
 pub use leaving::Marks;
 pub use registry::{Exchange, Registry};
-pub use report::{Error, Report, Share};
+pub use report::{Error, Report, ReportBatch};
 
 /// Rules for ejection and return.
 #[derive(Clone, Debug, PartialEq)]
--- a/mimosashift/src/health/registry.rs
+++ b/mimosashift/src/health/registry.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::state::{Declared, State};
-use super::{Availability, Condition, Error, HealthView, Report, Settings, Share};
+use super::{Availability, Condition, Error, HealthView, Report, ReportBatch, Settings};
 use crate::engine::{Failure, Load};
 use crate::resource::{Endpoint, Name, Role, Snapshot};
 use crate::route::Distances;
@@ -164,8 +164,8 @@
 
     /// Takes in reports of another router, in any order and any number of
     /// times; returns those that were not used.
-    pub fn merge(&mut self, share: &Share, now: Instant) -> Vec<Error> {
-        share.reports.iter().filter_map(|report| self.merge_one(report, now).err()).collect()
+    pub fn merge(&mut self, batch: &ReportBatch, now: Instant) -> Vec<Error> {
+        batch.reports.iter().filter_map(|report| self.merge_one(report, now).err()).collect()
     }
 
     /// Ejects slow outliers; to be called about once a second.
@@ -206,12 +206,12 @@
 impl Registry {
     /// Reports taken after `since`, and every mark of leaving, for other
     /// routers.
-    pub fn share(&self, since: Instant) -> Share {
+    pub fn reports_since(&self, since: Instant) -> ReportBatch {
         let shared = |state: &State| state.taken > since || state.marks.is_leaving();
         let states = self.states.iter().filter(|(_, state)| shared(state));
         let mut reports: Vec<Report> = states.map(|(name, state)| report(name, state)).collect();
         reports.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
-        Share { reports }
+        ReportBatch { reports }
     }
 
     /// Number of endpoints with a state.
--- a/mimosashift/src/health/report.rs
+++ b/mimosashift/src/health/report.rs
@@ -46,7 +46,7 @@
 
 /// Reports for other routers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct ReportBatch {
     /// At most one report per endpoint.
     pub reports: Vec<Report>,
 }
--- a/mimosashift/src/node/cluster/report.rs
+++ b/mimosashift/src/node/cluster/report.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::admit;
-use crate::health::{Report, Share};
+use crate::health::{Report, ReportBatch};
 use crate::node::Node;
 use crate::resource::Name;
 use crate::time::Instant;
@@ -38,14 +38,14 @@
     pub fn payloads(&mut self, node: &Node, now: Instant) -> Vec<Payload> {
         if now.since(self.refreshed) >= REFRESH_INTERVAL {
             self.refreshed = now;
-            let share = node.lock_health().share(now - MAX_REPORT_AGE);
+            let share = node.lock_health().reports_since(now - MAX_REPORT_AGE);
             self.payloads = self.health(share).into_iter().collect();
         }
         self.payloads.clone()
     }
 
     /// As many reports as fit: endpoints that leave first, then in turn.
-    fn health(&mut self, share: Share) -> Option<Payload> {
+    fn health(&mut self, share: ReportBatch) -> Option<Payload> {
         let last = self.last.take();
         let mut reports = share.reports;
         reports.sort_by_key(|r| (!r.marks.is_leaving(), Some(&r.endpoint) <= last.as_ref()));
@@ -59,7 +59,7 @@
             chosen.push(report);
         }
         self.last = chosen.last().map(|report| report.endpoint.clone());
-        let share = Share { reports: chosen };
+        let share = ReportBatch { reports: chosen };
         (!share.reports.is_empty()).then(|| Payload { tag: HEALTH_TAG, bytes: encode(&share) })
     }
 }
@@ -81,7 +81,7 @@
     for payload in payloads {
         match payload.tag {
             HEALTH_TAG => {
-                if let Ok(share) = postcard::from_bytes::<Share>(&payload.bytes) {
+                if let Ok(share) = postcard::from_bytes::<ReportBatch>(&payload.bytes) {
                     // Endpoints that are not installed here yet come again.
                     let _ = node.lock_health().merge(&share, now);
                 }
--- a/mimosashift/tests/health.rs
+++ b/mimosashift/tests/health.rs
@@ -5,7 +5,9 @@
 
 use mimosashift::engine::{Failure, Load};
 use mimosashift::health::probe::{Router, poller};
-use mimosashift::health::{Availability, Exchange, HealthView, Registry, Report, Settings, Share};
+use mimosashift::health::{
+    Availability, Exchange, HealthView, Registry, Report, ReportBatch, Settings,
+};
 use mimosashift::resource::{Kind, Name, Resource, Snapshot, Spec};
 use mimosashift::route::Distances;
 use mimosashift::time::Instant;
@@ -213,7 +215,7 @@
         Source::Peer => {
             let mut peer = self::registry(1);
             peer.poll(&e, 1, &leaving, 2, at(2));
-            assert!(registry.merge(&peer.share(at(0)), at(2)).is_empty());
+            assert!(registry.merge(&peer.reports_since(at(0)), at(2)).is_empty());
         }
     }
 }
@@ -252,7 +254,7 @@
     let mut peer = self::registry(1);
     let poller = if shared { &mut peer } else { &mut registry };
     poller.poll(&e, 2, &running(0), 2, at(5));
-    registry.merge(&peer.share(at(0)), at(5));
+    registry.merge(&peer.reports_since(at(0)), at(5));
     registry.fail(&e, &Failure::Leaving, at(2), at(6), &mut rng());
     assert_eq!(registry.condition(&e, at(6)).availability, Availability::Live);
 }
@@ -264,10 +266,10 @@
     peer.poll(&e, 1, &running(0), 1, at(2));
     registry.fail(&e, &Failure::Leaving, at(1), at(1), &mut rng());
     assert_eq!(registry.condition(&e, at(1)).availability, Availability::Leaving);
-    registry.merge(&peer.share(at(0)), at(2));
+    registry.merge(&peer.reports_since(at(0)), at(2));
     assert_eq!(registry.condition(&e, at(2)).availability, Availability::Leaving);
     peer.poll(&e, 2, &running(0), 2, at(3));
-    registry.merge(&peer.share(at(0)), at(3));
+    registry.merge(&peer.reports_since(at(0)), at(3));
     assert_eq!(registry.condition(&e, at(3)).availability, Availability::Live);
 }
 
@@ -287,7 +289,7 @@
     let mut registry = registry(1);
     let mut peer = self::registry(1);
     peer.poll(&name("e0"), 1, &running(9), 1, at(100));
-    assert_eq!(registry.merge(&peer.share(at(0)), at(1)).len(), 1);
+    assert_eq!(registry.merge(&peer.reports_since(at(0)), at(1)).len(), 1);
     assert_eq!(registry.condition(&name("e0"), at(1)).sequences, 0);
 }
 
@@ -326,7 +328,7 @@
                 let running = (second * 10 + sequence) as u32;
                 let load = Load { running, leaving, ..Load::default() };
                 source.poll(e, incarnation, &load, sequence + 1, at(second + 1));
-                let mut shared = source.share(at(0));
+                let mut shared = source.reports_since(at(0));
                 shared.reports[0].load.leaving = false;
                 shared.reports.remove(0)
             };
@@ -343,11 +345,11 @@
     fn merge_is_the_same_in_any_order_and_any_number_of_times(reports in reports()) {
         let mut forward = registry(3);
         let mut backward = registry(3);
-        forward.merge(&Share { reports: reports.clone() }, at(9));
+        forward.merge(&ReportBatch { reports: reports.clone() }, at(9));
         for _ in 0..2 {
             let reversed = reports.iter().rev().cloned().collect();
-            backward.merge(&Share { reports: reversed }, at(9));
+            backward.merge(&ReportBatch { reports: reversed }, at(9));
         }
-        prop_assert_eq!(forward.share(at(0)), backward.share(at(0)));
+        prop_assert_eq!(forward.reports_since(at(0)), backward.reports_since(at(0)));
     }
 }
