--- a/mimosashift/src/health/leaving.rs
+++ b/mimosashift/src/health/leaving.rs
@@ -1,4 +1,4 @@
-//! Marks that an endpoint is shutting down; they merge in any order.
+//! LeavingState that an endpoint is shutting down; they merge in any order.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 /// Both parts only ever rise, so routers that exchange them agree in the end
 /// whatever the order of the messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Marks {
+pub struct LeavingState {
     listed: Listed,
     own: Own,
 }
@@ -28,7 +28,7 @@
     leaving: bool,
 }
 
-impl Marks {
+impl LeavingState {
     /// Takes in a statement of the VM list.
     pub(super) fn list(&mut self, generation: u64, leaving: bool) {
         let incarnation = self.own.incarnation;
--- a/mimosashift/src/health/mod.rs
+++ b/mimosashift/src/health/mod.rs
@@ -18,7 +18,7 @@
 mod report;
 mod state;
 
-pub use leaving::Marks;
+pub use leaving::LeavingState;
 pub use registry::{Exchange, Registry};
 pub use report::{Error, Report, ReportBatch};
 
--- a/mimosashift/src/health/registry.rs
+++ b/mimosashift/src/health/registry.rs
@@ -144,15 +144,15 @@
         now: Instant,
     ) {
         let Some(state) = self.states.get_mut(endpoint) else { return };
-        let mut marks = state.marks;
-        marks.report(incarnation, false);
-        state.mark(&marks, now);
+        let mut leaving_state = state.leaving_state;
+        leaving_state.report(incarnation, false);
+        state.merge_leaving(&leaving_state, now);
         if load.leaving {
             state.refuse();
         }
-        let marks = state.marks;
+        let leaving_state = state.leaving_state;
         let endpoint = endpoint.clone();
-        state.report(&Report { endpoint, taken: now, sequence, load: load.clone(), marks });
+        state.report(&Report { endpoint, taken: now, sequence, load: load.clone(), leaving_state });
     }
 
     /// Takes in a whole VM list: `leaving` says which endpoints' VMs leave.
@@ -207,7 +207,7 @@
     /// Reports taken after `since`, and every mark of leaving, for other
     /// routers.
     pub fn reports_since(&self, since: Instant) -> ReportBatch {
-        let shared = |state: &State| state.taken > since || state.marks.is_leaving();
+        let shared = |state: &State| state.taken > since || state.leaving_state.is_leaving();
         let states = self.states.iter().filter(|(_, state)| shared(state));
         let mut reports: Vec<Report> = states.map(|(name, state)| report(name, state)).collect();
         reports.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
@@ -257,7 +257,7 @@
         taken: state.taken,
         sequence: state.sequence,
         load: state.load.clone(),
-        marks: state.marks,
+        leaving_state: state.leaving_state,
     }
 }
 
--- a/mimosashift/src/health/report.rs
+++ b/mimosashift/src/health/report.rs
@@ -5,7 +5,7 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-use super::leaving::Marks;
+use super::leaving::LeavingState;
 use crate::engine::Load;
 use crate::resource::Name;
 use crate::time::Instant;
@@ -41,7 +41,7 @@
     /// The engine's answer.
     pub load: Load,
     /// What is known about the endpoint leaving.
-    pub marks: Marks,
+    pub leaving_state: LeavingState,
 }
 
 /// Reports for other routers.
--- a/mimosashift/src/health/state.rs
+++ b/mimosashift/src/health/state.rs
@@ -4,7 +4,7 @@
 
 use super::ejection::Ejection;
 use super::factor::Factor;
-use super::leaving::Marks;
+use super::leaving::LeavingState;
 use super::{Availability, Condition, Report, Settings, model};
 use crate::engine::Load;
 use crate::time::Instant;
@@ -22,7 +22,7 @@
 pub(super) struct State {
     pub(super) group: u32,
     pub(super) declared: Declared,
-    pub(super) marks: Marks,
+    pub(super) leaving_state: LeavingState,
     /// The VM list's generation at a refusal by an unknown incarnation.
     refused: Option<u64>,
     /// When the present incarnation was first seen.
@@ -47,7 +47,7 @@
         Self {
             group,
             declared,
-            marks: Marks::default(),
+            leaving_state: LeavingState::default(),
             refused: None,
             incarnated: Instant::ZERO,
             taken: Instant::ZERO,
@@ -81,34 +81,34 @@
     /// Without a known incarnation the refusal counts for the next one learnt,
     /// unless a newer VM list withdraws it before.
     pub(super) fn refuse(&mut self) {
-        if !self.marks.refuse() {
-            self.refused = Some(self.marks.generation());
+        if !self.leaving_state.refuse() {
+            self.refused = Some(self.leaving_state.generation());
         }
     }
 
     /// Takes in a statement of the VM list.
     pub(super) fn list(&mut self, generation: u64, leaving: bool) {
-        self.marks.list(generation, leaving);
+        self.leaving_state.list(generation, leaving);
         self.refused = self.refused.filter(|&refused| generation <= refused);
     }
 
     /// Takes in marks known elsewhere; a new incarnation starts to return.
-    pub(super) fn mark(&mut self, marks: &Marks, seen: Instant) {
-        let before = self.marks.incarnation();
-        self.marks.merge(marks);
-        if before > 0 && self.marks.incarnation() > before {
+    pub(super) fn merge_leaving(&mut self, leaving_state: &LeavingState, seen: Instant) {
+        let before = self.leaving_state.incarnation();
+        self.leaving_state.merge(leaving_state);
+        if before > 0 && self.leaving_state.incarnation() > before {
             self.incarnated = seen;
             self.failures = 0;
             self.ejection.lift(seen);
         }
-        if self.refused.is_some() && self.marks.refuse() {
+        if self.refused.is_some() && self.leaving_state.refuse() {
             self.refused = None;
         }
     }
 
     /// Takes in a report unless a newer one is known.
     pub(super) fn report(&mut self, report: &Report) {
-        self.mark(&report.marks, report.taken);
+        self.merge_leaving(&report.leaving_state, report.taken);
         if (report.taken, report.sequence) <= (self.taken, self.sequence) {
             return;
         }
@@ -135,7 +135,7 @@
     }
 
     pub(super) fn is_leaving(&self) -> bool {
-        self.marks.is_leaving() || self.refused.is_some()
+        self.leaving_state.is_leaving() || self.refused.is_some()
     }
 
     /// How many times slower than declared, over service and link.
--- a/mimosashift/src/node/cluster/report.rs
+++ b/mimosashift/src/node/cluster/report.rs
@@ -48,7 +48,8 @@
     fn health(&mut self, share: ReportBatch) -> Option<Payload> {
         let last = self.last.take();
         let mut reports = share.reports;
-        reports.sort_by_key(|r| (!r.marks.is_leaving(), Some(&r.endpoint) <= last.as_ref()));
+        reports
+            .sort_by_key(|r| (!r.leaving_state.is_leaving(), Some(&r.endpoint) <= last.as_ref()));
         let mut chosen: Vec<Report> = Vec::new();
         let mut bytes = 0;
         for report in reports {
