--- a/mimosashift/src/health/registry.rs
+++ b/mimosashift/src/health/registry.rs
@@ -152,7 +152,13 @@
         }
         let leaving_state = state.leaving_state;
         let endpoint = endpoint.clone();
-        state.report(&Report { endpoint, taken: now, sequence, load: load.clone(), leaving_state });
+        state.report(&Report {
+            endpoint,
+            polled_at: now,
+            sequence,
+            load: load.clone(),
+            leaving_state,
+        });
     }
 
     /// Takes in a whole VM list: `leaving` says which endpoints' VMs leave.
@@ -182,14 +188,14 @@
         }
         outliers.sort();
         for name in &outliers {
-            let state = self.states.get_mut(name).expect("outliers are taken from the states");
+            let state = self.states.get_mut(name).expect("outliers are polled_at from the states");
             state.ejection.eject(Availability::Slow, &self.settings, now, rng);
         }
     }
 
     fn merge_one(&mut self, report: &Report, now: Instant) -> Result<(), Error> {
         let endpoint = &report.endpoint;
-        let lead = report.taken.since(now);
+        let lead = report.polled_at.since(now);
         if lead > self.settings.max_clock_skew {
             return Err(Error::Future { endpoint: endpoint.clone(), lead });
         }
@@ -204,10 +210,10 @@
 
 /// Queries.
 impl Registry {
-    /// Reports taken after `since`, and every mark of leaving, for other
+    /// Reports polled after `since`, and every mark of leaving, for other
     /// routers.
     pub fn reports_since(&self, since: Instant) -> ReportBatch {
-        let shared = |state: &State| state.taken > since || state.leaving_state.is_leaving();
+        let shared = |state: &State| state.polled_at > since || state.leaving_state.is_leaving();
         let states = self.states.iter().filter(|(_, state)| shared(state));
         let mut reports: Vec<Report> = states.map(|(name, state)| report(name, state)).collect();
         reports.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
@@ -254,7 +260,7 @@
 fn report(endpoint: &Name, state: &State) -> Report {
     Report {
         endpoint: endpoint.clone(),
-        taken: state.taken,
+        polled_at: state.polled_at,
         sequence: state.sequence,
         load: state.load.clone(),
         leaving_state: state.leaving_state,
--- a/mimosashift/src/health/report.rs
+++ b/mimosashift/src/health/report.rs
@@ -28,14 +28,14 @@
 
 /// One endpoint's load as polled by one router.
 ///
-/// Of two reports the one with the later `taken`, then the higher `sequence`,
+/// Of two reports the one with the later `polled_at`, then the higher `sequence`,
 /// replaces the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The endpoint.
     pub endpoint: Name,
     /// When the poll was answered, on the polling router's clock.
-    pub taken: Instant,
+    pub polled_at: Instant,
     /// Number of the poll, rising within one router.
     pub sequence: u64,
     /// The engine's answer.
--- a/mimosashift/src/health/state.rs
+++ b/mimosashift/src/health/state.rs
@@ -27,7 +27,7 @@
     refused: Option<u64>,
     /// When the present incarnation was first seen.
     pub(super) incarnated: Instant,
-    pub(super) taken: Instant,
+    pub(super) polled_at: Instant,
     pub(super) sequence: u64,
     pub(super) load: Load,
     pub(super) ejection: Ejection,
@@ -50,7 +50,7 @@
             leaving_state: LeavingState::default(),
             refused: None,
             incarnated: Instant::ZERO,
-            taken: Instant::ZERO,
+            polled_at: Instant::ZERO,
             sequence: 0,
             load: Load::default(),
             ejection: Ejection::default(),
@@ -71,7 +71,7 @@
     pub(super) fn end(&mut self, started: Instant) {
         let Some(place) = self.flight.iter().position(|&at| at == started) else { return };
         self.flight.swap_remove(place);
-        if started <= self.taken {
+        if started <= self.polled_at {
             self.finished += 1;
         }
     }
@@ -108,11 +108,11 @@
 
     /// Takes in a report unless a newer one is known.
     pub(super) fn report(&mut self, report: &Report) {
-        self.merge_leaving(&report.leaving_state, report.taken);
-        if (report.taken, report.sequence) <= (self.taken, self.sequence) {
+        self.merge_leaving(&report.leaving_state, report.polled_at);
+        if (report.polled_at, report.sequence) <= (self.polled_at, self.sequence) {
             return;
         }
-        self.taken = report.taken;
+        self.polled_at = report.polled_at;
         self.sequence = report.sequence;
         self.load = report.load.clone();
         self.finished = 0;
@@ -121,7 +121,7 @@
     /// Sequences at the endpoint: the report, less own work finished since,
     /// plus the work that `routers` routers like this one began since.
     fn sequences(&self, routers: u32) -> u32 {
-        let own = self.flight.iter().filter(|&&at| at > self.taken).count() as u32;
+        let own = self.flight.iter().filter(|&&at| at > self.polled_at).count() as u32;
         let begun = own.saturating_mul(routers);
         let reported = self.load.queued.saturating_add(self.load.running);
         reported.saturating_sub(self.finished).saturating_add(begun)
