--- a/mimosabench/src/policy/router.rs
+++ b/mimosabench/src/policy/router.rs
@@ -172,24 +172,24 @@
             total: now.since(step.at),
             service: None,
         };
-        self.health.succeed(endpoint, &exchange, now);
+        self.health.record_success(endpoint, &exchange, now);
     }
 
     /// Notes a step without an answer.
     pub fn fail(&mut self, endpoint: &Name, failure: &Failure, sent: Instant, now: Instant) {
-        self.health.fail(endpoint, failure, sent, now, &mut self.rng);
+        self.health.record_failure(endpoint, failure, sent, now, &mut self.rng);
     }
 
     /// Takes in a load report that this router asked for.
     pub fn poll(&mut self, endpoint: &Name, load: &mimosashift::engine::Load, now: Instant) {
         self.polls += 1;
-        self.health.poll(endpoint, 1, load, self.polls, now);
+        self.health.record_poll(endpoint, 1, load, self.polls, now);
     }
 
     /// Ejects slow endpoints and forgets idle teams.
     pub fn sweep(&mut self, now: Instant) {
         self.admission.report(now, 0);
-        self.health.sweep(now, &mut self.rng);
+        self.health.eject_outliers(now, &mut self.rng);
     }
 
     fn choose(
--- a/mimosabench/src/policy/run/routers.rs
+++ b/mimosabench/src/policy/run/routers.rs
@@ -115,7 +115,7 @@
             return;
         }
         for router in self.routers.iter_mut().filter(|router| router.up) {
-            router.health.list(1, |name| hit.endpoints.contains(&fleet::number(name)));
+            router.health.apply_vm_list(1, |name| hit.endpoints.contains(&fleet::number(name)));
         }
     }
 }
--- a/mimosabench/src/slopes/choice.rs
+++ b/mimosabench/src/slopes/choice.rs
@@ -74,7 +74,7 @@
     registry.install(snapshot, &distances());
     for (endpoint, _) in snapshot.endpoints() {
         let load = Load { running: rng.random_range(0..24), ..Load::default() };
-        registry.poll(endpoint, 1, &load, 1, NOW);
+        registry.record_poll(endpoint, 1, &load, 1, NOW);
     }
     let affinity = Affinity::default();
     let sources = Sources { health: &registry, affinity: &affinity };
--- a/mimosabench/src/slopes/health.rs
+++ b/mimosabench/src/slopes/health.rs
@@ -38,7 +38,7 @@
         series([ROLE, "sweep", "µs", "endpoints"], &SIZES, |endpoints| {
             let mut registry = polled(&fleet::snapshot(0, endpoints), NOW);
             let mut rng = Pcg64Mcg::seed_from_u64(1);
-            cpu::micros_per_call(|| registry.sweep(NOW, &mut rng))
+            cpu::micros_per_call(|| registry.eject_outliers(NOW, &mut rng))
         }),
         series([ROLE, "change installed", "µs", "endpoints"], &SIZES, |endpoints| {
             let snapshot = fleet::snapshot(0, endpoints);
@@ -77,6 +77,6 @@
     let load =
         Load { queued: 2, running: 12, kv_free_tokens: 1 << 20, leaving: false, incarnation: 1 };
     for (endpoint, _) in snapshot.endpoints() {
-        registry.poll(endpoint, 1, &load, 1, now);
+        registry.record_poll(endpoint, 1, &load, 1, now);
     }
 }
--- a/mimosashift/benches/route.rs
+++ b/mimosashift/benches/route.rs
@@ -61,7 +61,7 @@
         let now = Instant::from_millis(1);
         for (endpoint, _) in snapshot.endpoints() {
             let load = Load { running: rng.random_range(0..24), ..Load::default() };
-            registry.poll(endpoint, 1, &load, 1, now);
+            registry.record_poll(endpoint, 1, &load, 1, now);
         }
         let affinity = Affinity::default();
         let sources = Sources { health: &registry, affinity: &affinity };
--- a/mimosashift/src/health/registry.rs
+++ b/mimosashift/src/health/registry.rs
@@ -82,7 +82,7 @@
     }
 
     /// Takes in an answered step or probe.
-    pub fn succeed(&mut self, endpoint: &Name, exchange: &Exchange, now: Instant) {
+    pub fn record_success(&mut self, endpoint: &Name, exchange: &Exchange, now: Instant) {
         let Some(state) = self.states.get_mut(endpoint) else { return };
         state.failures = 0;
         state.samples = state.samples.saturating_add(1);
@@ -104,7 +104,7 @@
     ///
     /// A refusal to work sent before the present incarnation was first seen
     /// says nothing about it.
-    pub fn fail(
+    pub fn record_failure(
         &mut self,
         endpoint: &Name,
         failure: &Failure,
@@ -135,7 +135,7 @@
     ///
     /// `incarnation` rises with each start of the endpoint; 0 when it does not
     /// say.
-    pub fn poll(
+    pub fn record_poll(
         &mut self,
         endpoint: &Name,
         incarnation: u64,
@@ -162,7 +162,7 @@
     }
 
     /// Takes in a whole VM list: `leaving` says which endpoints' VMs leave.
-    pub fn list(&mut self, generation: u64, leaving: impl Fn(&Name) -> bool) {
+    pub fn apply_vm_list(&mut self, generation: u64, leaving: impl Fn(&Name) -> bool) {
         for (name, state) in &mut self.states {
             state.list(generation, leaving(name));
         }
@@ -175,7 +175,7 @@
     }
 
     /// Ejects slow outliers; to be called about once a second.
-    pub fn sweep(&mut self, now: Instant, rng: &mut Pcg64Mcg) {
+    pub fn eject_outliers(&mut self, now: Instant, rng: &mut Pcg64Mcg) {
         let mut groups: HashMap<u32, Vec<(f32, &Name)>> = HashMap::new();
         for (name, state) in &self.states {
             let slowness = state.slowness(now);
@@ -188,7 +188,7 @@
         }
         outliers.sort();
         for name in &outliers {
-            let state = self.states.get_mut(name).expect("outliers are polled_at from the states");
+            let state = self.states.get_mut(name).expect("outliers are names of known endpoints");
             state.ejection.eject(Availability::Slow, &self.settings, now, rng);
         }
     }
--- a/mimosashift/src/node/probes.rs
+++ b/mimosashift/src/node/probes.rs
@@ -128,8 +128,8 @@
     let now = node.clock.now();
     let mut health = node.lock_health();
     match answer {
-        Ok(load) => health.poll(&target.name, load.incarnation, &load, target.sequence, now),
-        Err(failure) => health.fail(&target.name, &failure, sent, now, &mut rng()),
+        Ok(load) => health.record_poll(&target.name, load.incarnation, &load, target.sequence, now),
+        Err(failure) => health.record_failure(&target.name, &failure, sent, now, &mut rng()),
     }
 }
 
@@ -151,10 +151,10 @@
             let bytes = answer.body.len() as u64;
             let total = now.since(sent);
             let exchange = Exchange { layers: 0, tokens: 0, bytes, total, service: None };
-            health.succeed(&target.name, &exchange, now);
+            health.record_success(&target.name, &exchange, now);
         }
         Err(failure) => {
-            health.fail(&target.name, &Failure::from(failure), sent, now, &mut rng());
+            health.record_failure(&target.name, &Failure::from(failure), sent, now, &mut rng());
         }
     }
 }
@@ -177,7 +177,7 @@
     let installed = node.installed();
     let is_leaving =
         |name: &Name| installed.address(name).is_some_and(|address| leaving.contains(&address));
-    node.lock_health().list(list.generation, is_leaving);
+    node.lock_health().apply_vm_list(list.generation, is_leaving);
 }
 
 fn rng() -> Pcg64Mcg {
--- a/mimosashift/src/node/relay.rs
+++ b/mimosashift/src/node/relay.rs
@@ -195,9 +195,9 @@
                     total: now.since(sent),
                     service: None,
                 };
-                health.succeed(endpoint, &exchange, now);
+                health.record_success(endpoint, &exchange, now);
             }
-            Err(failure) => health.fail(endpoint, failure, sent, now, &mut self.rng),
+            Err(failure) => health.record_failure(endpoint, failure, sent, now, &mut self.rng),
         }
         answer
     }
--- a/mimosashift/src/node/services.rs
+++ b/mimosashift/src/node/services.rs
@@ -118,11 +118,11 @@
                 total: now.since(sent),
                 service: None,
             };
-            health.succeed(name, &exchange, now);
+            health.record_success(name, &exchange, now);
         }
         Err(failure) => {
             let mut rng = rand::SeedableRng::seed_from_u64(rand::random());
-            health.fail(name, &failure.clone().into(), sent, now, &mut rng);
+            health.record_failure(name, &failure.clone().into(), sent, now, &mut rng);
         }
     }
     answer
--- a/mimosashift/src/node/upkeep.rs
+++ b/mimosashift/src/node/upkeep.rs
@@ -21,7 +21,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(rand::random());
     spawn(node, "sweep", SWEEP_INTERVAL, move |node| {
         measure_queue(node);
-        node.lock_health().sweep(node.clock.now(), &mut rng);
+        node.lock_health().eject_outliers(node.clock.now(), &mut rng);
     })
 }
 
--- a/mimosashift/tests/health.rs
+++ b/mimosashift/tests/health.rs
@@ -68,7 +68,7 @@
 fn own_work_since_the_report_is_added() {
     let (mut registry, e) = (registry(1), name("e0"));
     registry.begin(&e, at(1));
-    registry.poll(&e, 1, &running(5), 1, at(2));
+    registry.record_poll(&e, 1, &running(5), 1, at(2));
     registry.begin(&e, at(3));
     assert_eq!(registry.condition(&e, at(3)).sequences, 6);
     registry.end(&e, at(1));
@@ -81,10 +81,10 @@
 fn work_of_like_routers_since_the_report_is_assumed() {
     let (mut registry, e) = (registry(1), name("e0"));
     registry.set_routers(8);
-    registry.poll(&e, 1, &running(5), 1, at(2));
+    registry.record_poll(&e, 1, &running(5), 1, at(2));
     registry.begin(&e, at(3));
     assert_eq!(registry.condition(&e, at(3)).sequences, 13);
-    registry.poll(&e, 1, &running(6), 2, at(4));
+    registry.record_poll(&e, 1, &running(6), 2, at(4));
     assert_eq!(registry.condition(&e, at(4)).sequences, 6);
 }
 
@@ -92,11 +92,11 @@
 fn link_degraded_a_hundredfold_shows_within_three_exchanges() {
     let (mut registry, e) = (registry(1), name("e0"));
     for _ in 0..20 {
-        registry.succeed(&e, &step(400), at(1));
+        registry.record_success(&e, &step(400), at(1));
     }
     let before = registry.condition(&e, at(1));
     for _ in 0..3 {
-        registry.succeed(&e, &step(40_000), at(1));
+        registry.record_success(&e, &step(40_000), at(1));
     }
     let after = registry.condition(&e, at(1));
     assert!((before.link_factor - 1.0).abs() < 0.01, "{before:?}");
@@ -107,7 +107,7 @@
 #[test]
 fn unconfirmed_slowness_is_forgotten() {
     let (mut registry, e) = (registry(1), name("e0"));
-    registry.succeed(&e, &step(40_000), at(1));
+    registry.record_success(&e, &step(40_000), at(1));
     assert!(registry.condition(&e, at(1)).link_factor > 20.0);
     assert!(registry.condition(&e, at(121)).link_factor < 1.1);
 }
@@ -121,10 +121,10 @@
 fn third_failure_in_a_row_ejects(failure: &Failure, ejects: bool) {
     let (mut registry, e, mut rng) = (registry(1), name("e0"), rng());
     for _ in 0..2 {
-        registry.fail(&e, failure, at(1), at(1), &mut rng);
+        registry.record_failure(&e, failure, at(1), at(1), &mut rng);
     }
     assert_eq!(registry.condition(&e, at(1)).availability, Availability::Live);
-    registry.fail(&e, failure, at(1), at(1), &mut rng);
+    registry.record_failure(&e, failure, at(1), at(1), &mut rng);
     assert_eq!(registry.condition(&e, at(1)).availability == Availability::Unreachable, ejects);
 }
 
@@ -132,9 +132,9 @@
 fn success_between_failures_prevents_ejection() {
     let (mut registry, e, mut rng) = (registry(1), name("e0"), rng());
     for _ in 0..10 {
-        registry.fail(&e, &silent(), at(1), at(1), &mut rng);
-        registry.fail(&e, &silent(), at(1), at(1), &mut rng);
-        registry.succeed(&e, &step(400), at(1));
+        registry.record_failure(&e, &silent(), at(1), at(1), &mut rng);
+        registry.record_failure(&e, &silent(), at(1), at(1), &mut rng);
+        registry.record_success(&e, &step(400), at(1));
     }
     assert_eq!(registry.condition(&e, at(1)).availability, Availability::Live);
 }
@@ -146,7 +146,7 @@
     let mut lengths = Vec::new();
     for _ in 0..4 {
         for _ in 0..3 {
-            registry.fail(&e, &silent(), now, now, &mut rng);
+            registry.record_failure(&e, &silent(), now, now, &mut rng);
         }
         let start = now;
         while registry.condition(&e, now).availability != Availability::Live {
@@ -167,11 +167,11 @@
     let (mut registry, mut rng) = (registry(20), rng());
     for (place, e) in endpoints(20).iter().enumerate() {
         for _ in 0..10 {
-            registry.succeed(e, &step(if place < 9 { 40_000 } else { 400 }), at(1));
+            registry.record_success(e, &step(if place < 9 { 40_000 } else { 400 }), at(1));
         }
     }
     for second in 1..4 {
-        registry.sweep(at(second), &mut rng);
+        registry.eject_outliers(at(second), &mut rng);
     }
     let availability = |e: &Name| registry.condition(e, at(3)).availability;
     let slow = endpoints(20).iter().filter(|e| availability(e) == Availability::Slow).count();
@@ -184,13 +184,13 @@
     let (mut registry, mut rng) = (registry(10), rng());
     for e in &endpoints(10)[..5] {
         for _ in 0..3 {
-            registry.fail(e, &silent(), at(1), at(1), &mut rng);
+            registry.record_failure(e, &silent(), at(1), at(1), &mut rng);
         }
     }
     for _ in 0..10 {
-        registry.succeed(&name("e9"), &step(40_000), at(1));
+        registry.record_success(&name("e9"), &step(40_000), at(1));
     }
-    registry.sweep(at(1), &mut rng);
+    registry.eject_outliers(at(1), &mut rng);
     let availability = |e: &Name| registry.condition(e, at(1)).availability;
     assert!(endpoints(10)[..5].iter().all(|e| availability(e) == Availability::Unreachable));
     assert_eq!(availability(&name("e9")), Availability::Live);
@@ -209,12 +209,12 @@
     let e = name("e0");
     let leaving = Load { leaving: true, ..Load::default() };
     match source {
-        Source::List => registry.list(5, |_| true),
-        Source::Own => registry.poll(&e, 1, &leaving, 2, at(2)),
-        Source::Refusal => registry.fail(&e, &Failure::Leaving, at(2), at(2), &mut rng()),
+        Source::List => registry.apply_vm_list(5, |_| true),
+        Source::Own => registry.record_poll(&e, 1, &leaving, 2, at(2)),
+        Source::Refusal => registry.record_failure(&e, &Failure::Leaving, at(2), at(2), &mut rng()),
         Source::Peer => {
             let mut peer = self::registry(1);
-            peer.poll(&e, 1, &leaving, 2, at(2));
+            peer.record_poll(&e, 1, &leaving, 2, at(2));
             assert!(registry.merge(&peer.reports_since(at(0)), at(2)).is_empty());
         }
     }
@@ -226,23 +226,23 @@
 #[test_case(Source::Peer)]
 fn leaving_stands_until_a_newer_incarnation(source: Source) {
     let (mut registry, e) = (registry(1), name("e0"));
-    registry.poll(&e, 1, &running(0), 1, at(1));
+    registry.record_poll(&e, 1, &running(0), 1, at(1));
     leave(&mut registry, source);
     assert_eq!(registry.condition(&e, at(2)).availability, Availability::Leaving);
-    registry.poll(&e, 1, &running(0), 3, at(3));
-    registry.list(4, |_| false);
-    registry.succeed(&e, &step(400), at(3));
+    registry.record_poll(&e, 1, &running(0), 3, at(3));
+    registry.apply_vm_list(4, |_| false);
+    registry.record_success(&e, &step(400), at(3));
     assert_eq!(registry.condition(&e, at(3)).availability, Availability::Leaving);
-    registry.poll(&e, 2, &running(0), 4, at(4));
+    registry.record_poll(&e, 2, &running(0), 4, at(4));
     assert_eq!(registry.condition(&e, at(4)).availability, Availability::Live);
 }
 
 #[test]
 fn newer_list_withdraws_its_mark() {
     let (mut registry, e) = (registry(1), name("e0"));
-    registry.list(5, |_| true);
-    registry.list(6, |_| false);
-    registry.list(5, |_| true);
+    registry.apply_vm_list(5, |_| true);
+    registry.apply_vm_list(6, |_| false);
+    registry.apply_vm_list(5, |_| true);
     assert_eq!(registry.condition(&e, at(1)).availability, Availability::Live);
 }
 
@@ -250,12 +250,12 @@
 #[test_case(true; "shared by a peer")]
 fn refusal_of_the_incarnation_before_is_not_held_against_the_next(shared: bool) {
     let (mut registry, e) = (registry(1), name("e0"));
-    registry.poll(&e, 1, &running(0), 1, at(1));
+    registry.record_poll(&e, 1, &running(0), 1, at(1));
     let mut peer = self::registry(1);
     let poller = if shared { &mut peer } else { &mut registry };
-    poller.poll(&e, 2, &running(0), 2, at(5));
+    poller.record_poll(&e, 2, &running(0), 2, at(5));
     registry.merge(&peer.reports_since(at(0)), at(5));
-    registry.fail(&e, &Failure::Leaving, at(2), at(6), &mut rng());
+    registry.record_failure(&e, &Failure::Leaving, at(2), at(6), &mut rng());
     assert_eq!(registry.condition(&e, at(6)).availability, Availability::Live);
 }
 
@@ -263,12 +263,12 @@
 fn refusal_by_an_unknown_incarnation_counts_for_the_first_learnt() {
     let (mut registry, e) = (registry(1), name("e0"));
     let mut peer = self::registry(1);
-    peer.poll(&e, 1, &running(0), 1, at(2));
-    registry.fail(&e, &Failure::Leaving, at(1), at(1), &mut rng());
+    peer.record_poll(&e, 1, &running(0), 1, at(2));
+    registry.record_failure(&e, &Failure::Leaving, at(1), at(1), &mut rng());
     assert_eq!(registry.condition(&e, at(1)).availability, Availability::Leaving);
     registry.merge(&peer.reports_since(at(0)), at(2));
     assert_eq!(registry.condition(&e, at(2)).availability, Availability::Leaving);
-    peer.poll(&e, 2, &running(0), 2, at(3));
+    peer.record_poll(&e, 2, &running(0), 2, at(3));
     registry.merge(&peer.reports_since(at(0)), at(3));
     assert_eq!(registry.condition(&e, at(3)).availability, Availability::Live);
 }
@@ -276,11 +276,11 @@
 #[test]
 fn newer_list_withdraws_a_refusal_by_an_unknown_incarnation() {
     let (mut registry, e) = (registry(1), name("e0"));
-    registry.list(5, |_| false);
-    registry.fail(&e, &Failure::Leaving, at(1), at(1), &mut rng());
-    registry.list(5, |_| false);
+    registry.apply_vm_list(5, |_| false);
+    registry.record_failure(&e, &Failure::Leaving, at(1), at(1), &mut rng());
+    registry.apply_vm_list(5, |_| false);
     assert_eq!(registry.condition(&e, at(1)).availability, Availability::Leaving);
-    registry.list(6, |_| false);
+    registry.apply_vm_list(6, |_| false);
     assert_eq!(registry.condition(&e, at(1)).availability, Availability::Live);
 }
 
@@ -288,7 +288,7 @@
 fn report_from_the_future_is_refused() {
     let mut registry = registry(1);
     let mut peer = self::registry(1);
-    peer.poll(&name("e0"), 1, &running(9), 1, at(100));
+    peer.record_poll(&name("e0"), 1, &running(9), 1, at(100));
     assert_eq!(registry.merge(&peer.reports_since(at(0)), at(1)).len(), 1);
     assert_eq!(registry.condition(&name("e0"), at(1)).sequences, 0);
 }
@@ -327,7 +327,7 @@
                 // One poll has one answer, so the load follows from its number.
                 let running = (second * 10 + sequence) as u32;
                 let load = Load { running, leaving, ..Load::default() };
-                source.poll(e, incarnation, &load, sequence + 1, at(second + 1));
+                source.record_poll(e, incarnation, &load, sequence + 1, at(second + 1));
                 let mut shared = source.reports_since(at(0));
                 shared.reports[0].load.leaving = false;
                 shared.reports.remove(0)
