--- a/mimosafront/src/front.rs
+++ b/mimosafront/src/front.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use mimosaplatform::store::Store;
-use mimosashift::admit::pressure::Pressure;
+use mimosashift::admit::pressure::MemoryPressure;
 use mimosashift::deployment::{Deployment, Node};
 use mimosashift::emit;
 use mimosashift::event::{Event, Logger};
@@ -56,7 +56,7 @@
     /// What endpoints answered that were asked whether they are alive.
     pub findings: RefCell<Findings>,
     /// How hard the engines are pressed.
-    pub pressure: RefCell<Pressure>,
+    pub pressure: RefCell<MemoryPressure>,
     /// Wakes every request when an endpoint is found dead or slow.
     pub faults: Notify,
     /// Wakes one request that waits for memory.
--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -89,7 +89,7 @@
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.0.pressure.borrow_mut().leave();
+        self.0.pressure.borrow_mut().end_wait();
     }
 }
 
@@ -218,7 +218,7 @@
                 Err(uncovered) => shortage = Some(uncovered),
             }
         }
-        if shortage.is_none() && front.pressure.borrow_mut().enter(now) {
+        if shortage.is_none() && front.pressure.borrow_mut().begin_wait(now) {
             let _waiting = Waiting(front);
             match self.wait(now + MAX_WAIT).await {
                 Ok(chain) => return Ok(self.admitted(chain)),
@@ -246,7 +246,7 @@
 
     fn admitted(&self, chain: Chain) -> Chain {
         let front = self.front();
-        front.pressure.borrow_mut().admitted(clock::now());
+        front.pressure.borrow_mut().record_admitted(clock::now());
         // There may be room for the next one as well.
         front.released.notify_one();
         chain
@@ -290,7 +290,7 @@
     fn shortage(&self, shortage: &Shortage) -> End {
         self.log_short(shortage);
         let mut pressure = self.front().pressure.borrow_mut();
-        pressure.refused(clock::now());
+        pressure.record_refused(clock::now());
         let later = pressure.retry_after(self.front().draw());
         let (kind, reason) = match shortage {
             Shortage::Full(_) => (RefusalReason::Shed, "no memory free"),
--- a/mimosashift/src/admit/pressure.rs
+++ b/mimosashift/src/admit/pressure.rs
@@ -32,16 +32,16 @@
 
 /// What was admitted and refused lately, and who waits.
 #[derive(Clone, Debug, Default)]
-pub struct Pressure {
+pub struct MemoryPressure {
     admitted: f64,
     refused: f64,
     at: Instant,
     waiting: usize,
 }
 
-impl Pressure {
+impl MemoryPressure {
     /// Lets one more request wait, if it is likely to be served in time.
-    pub fn enter(&mut self, now: Instant) -> bool {
+    pub fn begin_wait(&mut self, now: Instant) -> bool {
         self.decay(now);
         let per_s = self.admitted / MEMORY.as_secs_f64();
         let room = (per_s * MAX_WAIT.as_secs_f64()).max(MIN_WAITING);
@@ -51,7 +51,7 @@
     }
 
     /// Notes that a request no longer waits.
-    pub const fn leave(&mut self) {
+    pub const fn end_wait(&mut self) {
         self.waiting -= 1;
     }
 
@@ -61,13 +61,13 @@
     }
 
     /// Notes that a request was admitted.
-    pub fn admitted(&mut self, now: Instant) {
+    pub fn record_admitted(&mut self, now: Instant) {
         self.decay(now);
         self.admitted += 1.0;
     }
 
     /// Notes that a request was refused.
-    pub fn refused(&mut self, now: Instant) {
+    pub fn record_refused(&mut self, now: Instant) {
         self.decay(now);
         self.refused += 1.0;
     }
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use mimosashift::admit::pressure::{MAX_WAIT, Pressure};
+use mimosashift::admit::pressure::{MAX_WAIT, MemoryPressure};
 use mimosashift::deployment::{Denied, Deployment, Kind, Limits, Route, Service, Team};
 use mimosashift::freshness::{Freshness, PeerConfirmation};
 use mimosashift::peer::{Config, Digest, Event, Peers};
@@ -170,35 +170,35 @@
 
 #[test]
 fn only_as_many_wait_as_are_served_in_time() {
-    let mut pressure = Pressure::default();
+    let mut pressure = MemoryPressure::default();
     for ms in 0..2_000 {
-        pressure.admitted(at(ms));
+        pressure.record_admitted(at(ms));
     }
     // 1,000 a second were admitted, of which some are forgotten.
-    let waiting = (0..1_000).filter(|_| pressure.enter(at(2_000))).count();
+    let waiting = (0..1_000).filter(|_| pressure.begin_wait(at(2_000))).count();
     let served = 1_000.0 * MAX_WAIT.as_secs_f64();
     assert!((waiting as f64) < served && (waiting as f64) > served / 2.0, "{waiting}");
 }
 
 #[test]
 fn some_may_wait_though_nothing_was_admitted() {
-    let mut pressure = Pressure::default();
-    assert!(pressure.enter(at(0)) && pressure.enter(at(0)));
-    assert!(!pressure.enter(at(0)));
-    pressure.leave();
-    assert!(pressure.enter(at(0)));
+    let mut pressure = MemoryPressure::default();
+    assert!(pressure.begin_wait(at(0)) && pressure.begin_wait(at(0)));
+    assert!(!pressure.begin_wait(at(0)));
+    pressure.end_wait();
+    assert!(pressure.begin_wait(at(0)));
 }
 
 #[test]
 fn refused_clients_come_back_the_later_the_more_are_refused() {
-    let mut calm = Pressure::default();
-    calm.refused(at(0));
+    let mut calm = MemoryPressure::default();
+    calm.record_refused(at(0));
     for _ in 0..99 {
-        calm.admitted(at(0));
+        calm.record_admitted(at(0));
     }
-    let mut pressed = Pressure::default();
+    let mut pressed = MemoryPressure::default();
     for _ in 0..100 {
-        pressed.refused(at(0));
+        pressed.record_refused(at(0));
     }
     assert!(calm.retry_after(0.5) < 300 * S / 1_000);
     assert!(pressed.retry_after(0.5) > 2 * S);
