--- a/mimosabench/src/slopes/health.rs
+++ b/mimosabench/src/slopes/health.rs
@@ -1,7 +1,7 @@
 //! State of endpoints.
 
 use mimosashift::engine::Load;
-use mimosashift::health::{Registry, Settings, Share};
+use mimosashift::health::{Registry, ReportBatch, Settings};
 use mimosashift::resource::Snapshot;
 use mimosashift::time::Instant;
 use rand::SeedableRng;
@@ -31,14 +31,14 @@
         }),
         series([ROLE, "all reports merged", "µs", "endpoints"], &SIZES, |endpoints| {
             let snapshot = fleet::snapshot(0, endpoints);
-            let share = polled(&snapshot, NOW).share(Instant::ZERO);
+            let share = polled(&snapshot, NOW).reports_since(Instant::ZERO);
             let mut registry = install(&snapshot);
             cpu::micros_per_call(|| registry.merge(&share, NOW))
         }),
         series([ROLE, "sweep", "µs", "endpoints"], &SIZES, |endpoints| {
             let mut registry = polled(&fleet::snapshot(0, endpoints), NOW);
             let mut rng = Pcg64Mcg::seed_from_u64(1);
-            cpu::micros_per_call(|| registry.sweep(NOW, &mut rng))
+            cpu::micros_per_call(|| registry.eject_outliers(NOW, &mut rng))
         }),
         series([ROLE, "change installed", "µs", "endpoints"], &SIZES, |endpoints| {
             let snapshot = fleet::snapshot(0, endpoints);
@@ -56,7 +56,8 @@
 
 /// Bytes of one report on each endpoint.
 pub fn share_bytes(endpoints: usize) -> usize {
-    let share: Share = polled(&fleet::snapshot(0, endpoints), NOW).share(Instant::ZERO);
+    let share: ReportBatch =
+        polled(&fleet::snapshot(0, endpoints), NOW).reports_since(Instant::ZERO);
     postcard::to_stdvec(&share).expect("reports can be encoded").len()
 }
 
@@ -76,6 +77,6 @@
     let load =
         Load { queued: 2, running: 12, kv_free_tokens: 1 << 20, leaving: false, incarnation: 1 };
     for (endpoint, _) in snapshot.endpoints() {
-        registry.poll(endpoint, 1, &load, 1, now);
+        registry.record_poll(endpoint, 1, &load, 1, now);
     }
 }
--- a/mimosashift/src/health/registry.rs
+++ b/mimosashift/src/health/registry.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::state::{Declared, State};
-use super::{Condition, Error, Report, Settings, Share, Standing, View};
+use super::{Availability, Condition, Error, HealthView, Report, ReportBatch, Settings};
 use crate::engine::{Failure, Load};
 use crate::resource::{Endpoint, Name, Role, Snapshot};
 use crate::route::Distances;
@@ -82,7 +82,7 @@
     }
 
     /// Takes in an answered step or probe.
-    pub fn succeed(&mut self, endpoint: &Name, exchange: &Exchange, now: Instant) {
+    pub fn record_success(&mut self, endpoint: &Name, exchange: &Exchange, now: Instant) {
         let Some(state) = self.states.get_mut(endpoint) else { return };
         state.failures = 0;
         state.samples = state.samples.saturating_add(1);
@@ -104,7 +104,7 @@
     ///
     /// A refusal to work sent before the present incarnation was first seen
     /// says nothing about it.
-    pub fn fail(
+    pub fn record_failure(
         &mut self,
         endpoint: &Name,
         failure: &Failure,
@@ -124,8 +124,8 @@
             Failure::Unreachable(_) | Failure::Silent(_) | Failure::Malformed(_) => {
                 state.failures = state.failures.saturating_add(1);
                 let limit = self.settings.consecutive_failures;
-                if state.failures >= limit && state.standing(now) < Standing::Unreachable {
-                    state.ejection.eject(Standing::Unreachable, &self.settings, now, rng);
+                if state.failures >= limit && state.availability(now) < Availability::Unreachable {
+                    state.ejection.eject(Availability::Unreachable, &self.settings, now, rng);
                 }
             }
         }
@@ -135,7 +135,7 @@
     ///
     /// `incarnation` rises with each start of the endpoint; 0 when it does not
     /// say.
-    pub fn poll(
+    pub fn record_poll(
         &mut self,
         endpoint: &Name,
         incarnation: u64,
@@ -144,19 +144,25 @@
         now: Instant,
     ) {
         let Some(state) = self.states.get_mut(endpoint) else { return };
-        let mut marks = state.marks;
-        marks.report(incarnation, false);
-        state.mark(&marks, now);
+        let mut leaving_state = state.leaving_state;
+        leaving_state.report(incarnation, false);
+        state.merge_leaving(&leaving_state, now);
         if load.leaving {
             state.refuse();
         }
-        let marks = state.marks;
+        let leaving_state = state.leaving_state;
         let endpoint = endpoint.clone();
-        state.report(&Report { endpoint, taken: now, sequence, load: load.clone(), marks });
+        state.report(&Report {
+            endpoint,
+            polled_at: now,
+            sequence,
+            load: load.clone(),
+            leaving_state,
+        });
     }
 
     /// Takes in a whole VM list: `leaving` says which endpoints' VMs leave.
-    pub fn list(&mut self, generation: u64, leaving: impl Fn(&Name) -> bool) {
+    pub fn apply_vm_list(&mut self, generation: u64, leaving: impl Fn(&Name) -> bool) {
         for (name, state) in &mut self.states {
             state.list(generation, leaving(name));
         }
@@ -164,12 +170,12 @@
 
     /// Takes in reports of another router, in any order and any number of
     /// times; returns those that were not used.
-    pub fn merge(&mut self, share: &Share, now: Instant) -> Vec<Error> {
-        share.reports.iter().filter_map(|report| self.merge_one(report, now).err()).collect()
+    pub fn merge(&mut self, batch: &ReportBatch, now: Instant) -> Vec<Error> {
+        batch.reports.iter().filter_map(|report| self.merge_one(report, now).err()).collect()
     }
 
     /// Ejects slow outliers; to be called about once a second.
-    pub fn sweep(&mut self, now: Instant, rng: &mut Pcg64Mcg) {
+    pub fn eject_outliers(&mut self, now: Instant, rng: &mut Pcg64Mcg) {
         let mut groups: HashMap<u32, Vec<(f32, &Name)>> = HashMap::new();
         for (name, state) in &self.states {
             let slowness = state.slowness(now);
@@ -182,14 +188,14 @@
         }
         outliers.sort();
         for name in &outliers {
-            let state = self.states.get_mut(name).expect("outliers are taken from the states");
-            state.ejection.eject(Standing::Slow, &self.settings, now, rng);
+            let state = self.states.get_mut(name).expect("outliers are names of known endpoints");
+            state.ejection.eject(Availability::Slow, &self.settings, now, rng);
         }
     }
 
     fn merge_one(&mut self, report: &Report, now: Instant) -> Result<(), Error> {
         let endpoint = &report.endpoint;
-        let lead = report.taken.since(now);
+        let lead = report.polled_at.since(now);
         if lead > self.settings.max_clock_skew {
             return Err(Error::Future { endpoint: endpoint.clone(), lead });
         }
@@ -204,14 +210,14 @@
 
 /// Queries.
 impl Registry {
-    /// Reports taken after `since`, and every mark of leaving, for other
+    /// Reports polled after `since`, and every mark of leaving, for other
     /// routers.
-    pub fn share(&self, since: Instant) -> Share {
-        let shared = |state: &State| state.taken > since || state.marks.is_leaving();
+    pub fn reports_since(&self, since: Instant) -> ReportBatch {
+        let shared = |state: &State| state.polled_at > since || state.leaving_state.is_leaving();
         let states = self.states.iter().filter(|(_, state)| shared(state));
         let mut reports: Vec<Report> = states.map(|(name, state)| report(name, state)).collect();
         reports.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
-        Share { reports }
+        ReportBatch { reports }
     }
 
     /// Number of endpoints with a state.
@@ -227,8 +233,9 @@
     /// Members that may be ejected as outliers, of a group in order of
     /// falling slowness.
     fn outliers<'a>(&self, members: &[(f32, &'a Name)], now: Instant) -> Vec<&'a Name> {
-        let standing = |name: &Name| self.states[name].standing(now);
-        let ejected = members.iter().filter(|(_, name)| standing(name) != Standing::Live).count();
+        let availability = |name: &Name| self.states[name].availability(now);
+        let ejected =
+            members.iter().filter(|(_, name)| availability(name) != Availability::Live).count();
         let allowed = (members.len() as f64 * self.settings.max_ejected_share) as usize;
         let median = members[members.len() / 2].0;
         let limit = median.max(1.0) * self.settings.outlier_ratio;
@@ -236,14 +243,14 @@
             .iter()
             .take_while(|(slowness, _)| *slowness >= limit)
             .map(|(_, name)| *name)
-            .filter(|name| standing(name) == Standing::Live)
+            .filter(|name| availability(name) == Availability::Live)
             .filter(|name| self.states[*name].samples >= self.settings.outlier_samples)
             .take(allowed.saturating_sub(ejected))
             .collect()
     }
 }
 
-impl View for Registry {
+impl HealthView for Registry {
     fn condition(&self, endpoint: &Name, now: Instant) -> Condition {
         let state = self.states.get(endpoint);
         state.map_or(Condition::IDLE, |state| state.condition(&self.settings, self.routers, now))
@@ -253,10 +260,10 @@
 fn report(endpoint: &Name, state: &State) -> Report {
     Report {
         endpoint: endpoint.clone(),
-        taken: state.taken,
+        polled_at: state.polled_at,
         sequence: state.sequence,
         load: state.load.clone(),
-        marks: state.marks,
+        leaving_state: state.leaving_state,
     }
 }
 
--- a/mimosashift/src/node/operators/queries.rs
+++ b/mimosashift/src/node/operators/queries.rs
@@ -11,7 +11,7 @@
 use super::{Answer, Reply, not_found, number, parse_kind, parse_name};
 use crate::config::audit::{Audit, Filter};
 use crate::config::{ChangeId, Entry, Record, call};
-use crate::health::View;
+use crate::health::HealthView;
 use crate::http::Request;
 use crate::http::problem::Problem;
 use crate::member::{InForce, Liveness, Member};
@@ -187,7 +187,7 @@
         json!({
             "name": name,
             "domain": domain,
-            "standing": format!("{:?}", condition.standing).to_lowercase(),
+            "standing": format!("{:?}", condition.availability).to_lowercase(),
             "sequences": condition.sequences,
             "overloaded": condition.overloaded,
             "weight": condition.weight,
@@ -208,7 +208,7 @@
         "layers": candidate.layers,
         "endpoint": candidate.endpoint,
         "domain": candidate.domain,
-        "standing": format!("{:?}", candidate.condition.standing).to_lowercase(),
+        "standing": format!("{:?}", candidate.condition.availability).to_lowercase(),
         "estimate": estimate,
     })
 }
--- a/mimosashift/src/node/services.rs
+++ b/mimosashift/src/node/services.rs
@@ -7,7 +7,7 @@
 use super::Node;
 use super::installed::Installed;
 use super::postings;
-use crate::health::{Exchange, Standing, View};
+use crate::health::{Availability, Exchange, HealthView};
 use crate::http::client::{Answer, Call, Failure};
 use crate::http::problem::{Effect, Problem};
 use crate::http::{Request, Responder};
@@ -77,9 +77,9 @@
     candidates
         .filter(|(name, endpoint)| serves(endpoint) && !tried.contains(name))
         .map(|(name, endpoint)| (health.condition(name, now), name, endpoint))
-        .filter(|(condition, ..)| condition.standing != Standing::Leaving)
+        .filter(|(condition, ..)| condition.availability != Availability::Leaving)
         .min_by_key(|(condition, _, endpoint)| {
-            (condition.standing, endpoint.domain != *own, condition.sequences)
+            (condition.availability, endpoint.domain != *own, condition.sequences)
         })
         .map(|(_, name, endpoint)| (name, endpoint))
 }
@@ -118,11 +118,11 @@
                 total: now.since(sent),
                 service: None,
             };
-            health.succeed(name, &exchange, now);
+            health.record_success(name, &exchange, now);
         }
         Err(failure) => {
             let mut rng = rand::SeedableRng::seed_from_u64(rand::random());
-            health.fail(name, &failure.clone().into(), sent, now, &mut rng);
+            health.record_failure(name, &failure.clone().into(), sent, now, &mut rng);
         }
     }
     answer
