--- a/mimosashift/src/posting/batch.rs
+++ b/mimosashift/src/posting/batch.rs
@@ -1,4 +1,4 @@
-//! Commits the writes of many calls as one transaction.
+//! Group commit: combines the writes of many calls into one transaction.
 //!
 //! See "Group commit" in `docs/design/postings.md`.
 
@@ -8,16 +8,17 @@
 use crate::platform::{Check, Key, Outcome, Refusal, Row, Transaction, Write};
 use crate::time::Instant;
 
-/// Most writes in one batch.
+/// Maximum number of writes in one batch.
 pub const MAX_MEMBERS: usize = 64;
 
-/// Longest time that a write waits for others while the budget allows a commit.
+/// Longest time that a write waits to be grouped with others while the write
+/// budget allows a commit.
 pub const LINGER: Duration = Duration::from_millis(3);
 
-/// One call's write; `T` tells whose it is.
+/// The write of one call; `T` identifies the call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member<T> {
-    /// Whose write it is.
+    /// Identifies the call that the write belongs to.
     pub tag: T,
     /// The write with its precondition.
     pub transaction: Transaction,
@@ -25,7 +26,7 @@
     pub repeat: bool,
 }
 
-/// Writes that wait to be grouped.
+/// Writes that wait for the next batch.
 #[derive(Clone, Debug)]
 pub struct Queue<T> {
     waiting: VecDeque<(Instant, Member<T>)>,
@@ -42,20 +43,20 @@
     repeats_left: u8,
 }
 
-/// What a grouped commit came to.
+/// Result of a grouped commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settled<T> {
-    /// Outcomes of single members.
+    /// Outcomes of the members that are finished.
     pub outcomes: Vec<(T, Outcome<u64>)>,
-    /// Batches to commit next.
+    /// Batches that still have to be committed.
     pub rest: Vec<Batch<T>>,
 }
 
 impl<T> Queue<T> {
-    /// Times that a batch is repeated after an unknown outcome.
-    const REPEATS: u8 = 2;
+    /// How often a batch is retried after an unknown outcome.
+    const MAX_REPEATS: u8 = 2;
 
-    /// A queue that groups up to `max_members`, waiting at most `linger`.
+    /// Creates a queue that groups up to `max_members`, waiting at most `linger`.
     pub const fn new(max_members: usize, linger: Duration) -> Self {
         Self { waiting: VecDeque::new(), max_members, linger }
     }
@@ -73,27 +74,27 @@
 
     /// Takes the next batch if it is due.
     ///
-    /// Take a token of the write budget first: while there is none, writes
-    /// gather here, so that batches grow as the budget gets short.
+    /// The caller takes a token of the write budget first. While there is none,
+    /// writes accumulate here, so batches grow as the budget runs short.
     ///
     /// Two writes of the same row never share a batch: both preconditions
-    /// would hold although only one may win.
+    /// would hold although only one of the writes may succeed.
     pub fn take(&mut self, now: Instant) -> Option<Batch<T>> {
         if self.due_at()? > now {
             return None;
         }
         let mut members: Vec<Member<T>> = Vec::new();
-        let mut kept = VecDeque::new();
+        let mut deferred = VecDeque::new();
         for (since, member) in self.waiting.drain(..) {
             let shares_row = members.iter().any(|m| m.shares_row(&member));
             if shares_row || members.len() >= self.max_members {
-                kept.push_back((since, member));
+                deferred.push_back((since, member));
             } else {
                 members.push(member);
             }
         }
-        self.waiting = kept;
-        Some(Batch { members, uncertain: false, repeats_left: Self::REPEATS })
+        self.waiting = deferred;
+        Some(Batch { members, uncertain: false, repeats_left: Self::MAX_REPEATS })
     }
 }
 
@@ -112,7 +113,7 @@
         checks.chain(writes)
     }
 
-    /// Whether `row` is as this member writes it.
+    /// Whether `row` holds the value that this member writes.
     fn wrote(&self, row: &Row) -> bool {
         let puts =
             |write: &Write| matches!(write, Write::Put(k, v) if *k == row.key && *v == row.value);
@@ -141,7 +142,7 @@
         self.members.is_empty()
     }
 
-    /// Divides the outcome of the grouped commit among the members.
+    /// Maps the outcome of the grouped commit to its members.
     pub fn settle(mut self, outcome: Outcome<u64>) -> Settled<T> {
         match outcome {
             Outcome::NotDone(Refusal::Conflict(Some(row))) => self.settle_conflict(row),
@@ -165,13 +166,13 @@
         }
     }
 
-    /// Takes the conflicting member out, so that the others can go on.
+    /// Removes the conflicting member, so that the others can be committed.
     ///
     /// A transaction is atomic: when the row shows that an earlier commit of
     /// this batch wrote it, that commit wrote the rows of all members.
     fn settle_conflict(mut self, row: Row) -> Settled<T> {
-        let in_way = |m: &Member<T>| m.rows().any(|key| *key == row.key);
-        let Some(index) = self.members.iter().position(in_way) else {
+        let conflicts = |m: &Member<T>| m.rows().any(|key| *key == row.key);
+        let Some(index) = self.members.iter().position(conflicts) else {
             return self.settle_all(&Outcome::Unknown);
         };
         let wrote = self.members[index].wrote(&row);
--- a/mimosashift/src/posting/entry.rs
+++ b/mimosashift/src/posting/entry.rs
@@ -1,39 +1,39 @@
-//! The value of a claim's row.
+//! The stored value of a claim row.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Digest, Error, Nonce, Reply};
 use crate::platform::Row;
 
-/// A claim and what became of the call.
+/// A claim and the state of its call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The try that wrote the claim.
+    /// Identifies the attempt that wrote the claim.
     pub nonce: Nonce,
-    /// What the call asked for.
+    /// Digest of the request.
     pub digest: Digest,
     /// Wall clock time of the claim, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
-    /// What became of the call.
+    /// State of the call.
     pub state: State,
 }
 
-/// What became of a claimed call.
+/// State of a claimed call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It may be sent, running or lost.
+    /// The call may not have been sent yet, be running, or have been lost.
     Claimed,
-    /// It ran and the service gave this answer.
+    /// The call ran, and the service returned this reply.
     Replied(Reply),
-    /// It was not sent; the next try may take the row over.
+    /// The call was not sent; the next attempt may take over the row.
     Released,
-    /// An operator resolved it as run.
+    /// An operator resolved the call as executed.
     Ran,
 }
 
 impl Entry {
-    /// The row value.
+    /// Serializes the entry as a row value.
     pub fn encode(&self) -> String {
         serde_json::to_string(self).expect("an entry has only string keys")
     }
--- a/mimosashift/src/posting/machine.rs
+++ b/mimosashift/src/posting/machine.rs
@@ -1,4 +1,4 @@
-//! Decides when one try of a call is claimed, sent, recorded or withdrawn.
+//! State machine of one attempt at a call: claim, send, then record or release.
 
 use smallvec::{SmallVec, smallvec};
 
@@ -6,109 +6,123 @@
 use crate::platform::{Check, Key, Outcome, Refusal, Row, Transaction, Write};
 use crate::time::Instant;
 
-/// Times that the pause between two tries of a write doubles.
+/// Maximum number of times that the pause between retries of a write doubles.
 const MAX_DOUBLINGS: u8 = 6;
 
-/// One try of a call that may not be repeated.
+/// One attempt at a call that must not be repeated.
 ///
 /// It has at most one commit and one send outstanding, and answers the caller
-/// exactly once. Work may go on after the answer until
+/// exactly once. Work may continue after the answer until
 /// [`is_finished`](Self::is_finished). See `docs/design/postings.md`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Machine {
     settings: Settings,
     request: Request,
     phase: Phase,
-    /// End of the window of the current phase.
-    until: Instant,
-    /// When to repeat a commit of which nothing is outstanding.
+    /// When the time window of the current phase ends.
+    deadline: Instant,
+    /// When to retry the commit; no commit is outstanding until then.
     retry_at: Option<Instant>,
-    /// Repeats in the current phase.
+    /// Number of retries in the current phase.
     retries: u8,
     answered: bool,
 }
 
-/// What the shell does next.
+/// What the caller of the machine has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Commit and hand back the outcome through [`Machine::committed`].
+    /// Commit and return the outcome through [`Machine::committed`].
     Commit {
         /// The write with its precondition.
         transaction: Transaction,
         /// Whether the same write was committed before with an unknown outcome.
         repeat: bool,
     },
-    /// Send the call and hand back the result through [`Machine::delivered`].
+    /// Send the call and return the result through [`Machine::delivered`].
     Send {
-        /// No byte may leave from then on; the result is then
-        /// [`Delivery::NotConnected`].
+        /// No byte may be sent at or after this time; the result is
+        /// [`Delivery::NotConnected`] instead.
         before: Instant,
     },
     /// Answer the caller.
     Answer(Answer),
 }
 
-/// The actions of one step.
+/// The actions after one input.
 pub type Actions = SmallVec<[Action; 2]>;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     /// The claim is being written.
     Claiming {
-        /// Revision of the released row that it takes over.
-        over: Option<u64>,
+        /// Revision of the released row that the claim replaces.
+        replaced: Option<u64>,
         /// Whether an earlier write of the claim may have taken effect.
         uncertain: bool,
-        /// Whether the try was given up.
+        /// Whether the attempt was cancelled.
         cancelled: bool,
     },
-    /// The call is with the service.
-    Sending { claim: Option<u64>, connects: u8 },
-    /// The answer is being recorded.
+    /// The call is being sent to the service.
+    Sending { claim: Option<u64>, connect_attempts: u8 },
+    /// The reply is being recorded.
     Recording { claim: u64, reply: Reply },
-    /// The claim is being withdrawn; the call is never sent after this.
+    /// The claim is being released; the call is not sent any more.
     Releasing { claim: u64 },
     /// Nothing is left to do.
     Finished,
 }
 
 impl Machine {
-    /// Starts a try at `now` and returns its first actions.
+    /// Starts an attempt at `now` and returns its first actions.
     pub fn new(settings: Settings, request: Request, now: Instant) -> (Self, Actions) {
-        let keyed = request.key.is_some();
-        let phase = if keyed {
-            Phase::Claiming { over: None, uncertain: false, cancelled: false }
+        let has_key = request.key.is_some();
+        let phase = if has_key {
+            Phase::Claiming { replaced: None, uncertain: false, cancelled: false }
         } else {
-            Phase::Sending { claim: None, connects: 1 }
+            Phase::Sending { claim: None, connect_attempts: 1 }
         };
-        let until = now + settings.send_window;
-        let machine =
-            Self { settings, request, phase, until, retry_at: None, retries: 0, answered: false };
-        let first =
-            if keyed { machine.commit(false) } else { smallvec![Action::Send { before: until }] };
-        (machine, first)
+        let deadline = now + settings.send_window;
+        let machine = Self {
+            settings,
+            request,
+            phase,
+            deadline,
+            retry_at: None,
+            retries: 0,
+            answered: false,
+        };
+        let first_actions = if has_key {
+            machine.commit_actions(false)
+        } else {
+            smallvec![Action::Send { before: deadline }]
+        };
+        (machine, first_actions)
     }
 
-    /// Takes in the outcome of the outstanding commit.
+    /// Handles the outcome of the outstanding commit.
     pub fn committed(&mut self, outcome: &Outcome<u64>, now: Instant) -> Actions {
         match self.phase.clone() {
-            Phase::Claiming { over, uncertain, cancelled } => {
-                self.claimed(outcome, over, uncertain, cancelled, now)
+            Phase::Claiming { replaced, uncertain, cancelled } => {
+                self.on_claim_outcome(outcome, replaced, uncertain, cancelled, now)
+            }
+            Phase::Recording { .. } | Phase::Releasing { .. } => {
+                self.on_settle_outcome(outcome, now)
             }
-            Phase::Recording { .. } | Phase::Releasing { .. } => self.settled(outcome, now),
             Phase::Sending { .. } | Phase::Finished => Actions::new(),
         }
     }
 
-    /// Takes in what the service did with the call.
+    /// Handles the result of sending the call.
     pub fn delivered(&mut self, delivery: Delivery, now: Instant) -> Actions {
-        let Phase::Sending { claim, connects } = self.phase else {
+        let Phase::Sending { claim, connect_attempts } = self.phase else {
             return Actions::new();
         };
         match delivery {
-            Delivery::NotConnected if connects < self.settings.connects && now < self.until => {
-                self.phase = Phase::Sending { claim, connects: connects + 1 };
-                smallvec![Action::Send { before: self.until }]
+            Delivery::NotConnected
+                if connect_attempts < self.settings.max_connect_attempts && now < self.deadline =>
+            {
+                self.phase = Phase::Sending { claim, connect_attempts: connect_attempts + 1 };
+                smallvec![Action::Send { before: self.deadline }]
             }
             Delivery::NotConnected => self.give_up(claim, now),
             Delivery::Replied(reply) => self.record(claim, reply, now),
@@ -116,22 +130,22 @@
         }
     }
 
-    /// Repeats a commit that is due and ends windows that have passed.
+    /// Retries a commit that is due and ends a time window that has passed.
     pub fn tick(&mut self, now: Instant) -> Actions {
         let mut actions = Actions::new();
-        if now >= self.until && matches!(self.phase, Phase::Claiming { .. }) {
+        if now >= self.deadline && matches!(self.phase, Phase::Claiming { .. }) {
             actions.extend(self.cancel());
         }
         if self.retry_at.is_some_and(|at| at <= now) {
             self.retry_at = None;
-            actions.extend(self.commit(true));
+            actions.extend(self.commit_actions(true));
         }
         actions
     }
 
-    /// Gives the try up if it has not been sent, and says so to the caller.
+    /// Cancels the attempt if it has not been sent, and tells the caller so.
     ///
-    /// A claim that may have been written is still settled and withdrawn.
+    /// A claim that may have been written is still resolved and released.
     pub fn cancel(&mut self) -> Actions {
         let Phase::Claiming { cancelled, .. } = &mut self.phase else {
             return Actions::new();
@@ -144,7 +158,7 @@
     pub fn wake_at(&self) -> Option<Instant> {
         match self.phase {
             Phase::Claiming { cancelled: false, .. } => {
-                Some(self.retry_at.map_or(self.until, |at| at.min(self.until)))
+                Some(self.retry_at.map_or(self.deadline, |at| at.min(self.deadline)))
             }
             _ => self.retry_at,
         }
@@ -155,44 +169,46 @@
         matches!(self.phase, Phase::Finished)
     }
 
-    fn claimed(
+    fn on_claim_outcome(
         &mut self,
         outcome: &Outcome<u64>,
-        over: Option<u64>,
+        replaced: Option<u64>,
         uncertain: bool,
         cancelled: bool,
         now: Instant,
     ) -> Actions {
         match outcome {
-            Outcome::Done(revision) => self.own(*revision, cancelled, now),
-            Outcome::NotDone(Refusal::Conflict(Some(row))) => self.found(row, cancelled, now),
-            Outcome::NotDone(Refusal::Conflict(None)) if over.is_some() => {
-                // The released row was cleaned up.
-                self.phase = Phase::Claiming { over: None, uncertain: false, cancelled };
-                if cancelled { self.finish(Answer::NotRun) } else { self.commit(false) }
+            Outcome::Done(revision) => self.on_claim_written(*revision, cancelled, now),
+            Outcome::NotDone(Refusal::Conflict(Some(row))) => {
+                self.on_claim_conflict(row, cancelled, now)
+            }
+            Outcome::NotDone(Refusal::Conflict(None)) if replaced.is_some() => {
+                // The released row was deleted by the clean-up.
+                self.phase = Phase::Claiming { replaced: None, uncertain: false, cancelled };
+                if cancelled { self.finish(Answer::NotRun) } else { self.commit_actions(false) }
             }
             Outcome::NotDone(Refusal::Conflict(None)) if !uncertain => self.finish(Answer::Unknown),
             Outcome::NotDone(_) if !uncertain => self.finish(Answer::NotRun),
             Outcome::NotDone(_) | Outcome::Unknown => {
-                self.phase = Phase::Claiming { over, uncertain: true, cancelled };
-                self.retry(now)
+                self.phase = Phase::Claiming { replaced, uncertain: true, cancelled };
+                self.schedule_retry(now)
             }
         }
     }
 
-    /// Acts on the row that stands in the way of the claim.
-    fn found(&mut self, row: &Row, cancelled: bool, now: Instant) -> Actions {
+    /// Handles the existing row that the claim conflicts with.
+    fn on_claim_conflict(&mut self, row: &Row, cancelled: bool, now: Instant) -> Actions {
         let Ok(entry) = Entry::try_from(row) else {
             return self.finish(Answer::Unknown);
         };
-        let own = entry.nonce == self.request.nonce;
+        let is_own = entry.nonce == self.request.nonce;
         match entry.state {
-            State::Claimed if own => self.own(row.revision, cancelled, now),
-            State::Released if cancelled || now >= self.until => self.finish(Answer::NotRun),
+            State::Claimed if is_own => self.on_claim_written(row.revision, cancelled, now),
+            State::Released if cancelled || now >= self.deadline => self.finish(Answer::NotRun),
             State::Released => {
-                let over = Some(row.revision);
-                self.phase = Phase::Claiming { over, uncertain: false, cancelled };
-                self.commit(false)
+                let replaced = Some(row.revision);
+                self.phase = Phase::Claiming { replaced, uncertain: false, cancelled };
+                self.commit_actions(false)
             }
             _ if entry.digest != self.request.digest => self.finish(Answer::Mismatch),
             State::Replied(reply) => self.finish(Answer::Recorded(reply)),
@@ -201,23 +217,23 @@
         }
     }
 
-    fn own(&mut self, claim: u64, cancelled: bool, now: Instant) -> Actions {
-        if cancelled || now >= self.until {
+    fn on_claim_written(&mut self, claim: u64, cancelled: bool, now: Instant) -> Actions {
+        if cancelled || now >= self.deadline {
             return self.give_up(Some(claim), now);
         }
-        self.phase = Phase::Sending { claim: Some(claim), connects: 1 };
-        smallvec![Action::Send { before: self.until }]
+        self.phase = Phase::Sending { claim: Some(claim), connect_attempts: 1 };
+        smallvec![Action::Send { before: self.deadline }]
     }
 
     fn give_up(&mut self, claim: Option<u64>, now: Instant) -> Actions {
         let Some(claim) = claim else {
             return self.finish(Answer::NotRun);
         };
-        self.until = now + self.settings.settle_window;
+        self.deadline = now + self.settings.settle_window;
         self.retries = 0;
         self.phase = Phase::Releasing { claim };
         let mut actions = self.answer(Answer::NotRun);
-        actions.extend(self.commit(false));
+        actions.extend(self.commit_actions(false));
         actions
     }
 
@@ -225,32 +241,33 @@
         let Some(claim) = claim else {
             return self.finish(Answer::Replied(reply));
         };
-        self.until = now + self.settings.settle_window;
+        self.deadline = now + self.settings.settle_window;
         self.retries = 0;
         self.phase = Phase::Recording { claim, reply: reply.to_record() };
         let mut actions = self.answer(Answer::Replied(reply));
-        actions.extend(self.commit(false));
+        actions.extend(self.commit_actions(false));
         actions
     }
 
-    /// Ends recording or withdrawing once its write is certain.
-    fn settled(&mut self, outcome: &Outcome<u64>, now: Instant) -> Actions {
+    /// Finishes recording or releasing once the outcome of its write is known.
+    fn on_settle_outcome(&mut self, outcome: &Outcome<u64>, now: Instant) -> Actions {
         match outcome {
             Outcome::Done(_) | Outcome::NotDone(Refusal::Conflict(_) | Refusal::Invalid(_)) => {
                 self.phase = Phase::Finished;
                 Actions::new()
             }
-            Outcome::NotDone(_) | Outcome::Unknown => self.retry(now),
+            Outcome::NotDone(_) | Outcome::Unknown => self.schedule_retry(now),
         }
     }
 
-    /// Schedules the same write again, or leaves the claim to an operator.
-    fn retry(&mut self, now: Instant) -> Actions {
-        let last = match self.phase {
-            Phase::Claiming { .. } => self.until + self.settings.settle_window,
-            _ => self.until,
+    /// Schedules a retry of the same write, or leaves the claim to an operator
+    /// when the time for retries is over.
+    fn schedule_retry(&mut self, now: Instant) -> Actions {
+        let retry_deadline = match self.phase {
+            Phase::Claiming { .. } => self.deadline + self.settings.settle_window,
+            _ => self.deadline,
         };
-        if now >= last {
+        if now >= retry_deadline {
             return self.finish(Answer::NotRun);
         }
         let doublings = self.retries.min(MAX_DOUBLINGS);
@@ -272,18 +289,20 @@
         smallvec![Action::Answer(answer)]
     }
 
-    /// The write of the current phase; the same each time that it is repeated.
-    fn commit(&self, repeat: bool) -> Actions {
+    /// The write of the current phase; every retry has the same content.
+    fn commit_actions(&self, repeat: bool) -> Actions {
         let Some(key) = &self.request.key else {
             return Actions::new();
         };
         let (check, state) = match &self.phase {
-            Phase::Claiming { over: None, .. } => (Check::Absent(key.clone()), State::Claimed),
-            Phase::Claiming { over: Some(over), .. } => (revision(key, *over), State::Claimed),
+            Phase::Claiming { replaced: None, .. } => (Check::Absent(key.clone()), State::Claimed),
+            Phase::Claiming { replaced: Some(replaced), .. } => {
+                (revision_check(key, *replaced), State::Claimed)
+            }
             Phase::Recording { claim, reply } => {
-                (revision(key, *claim), State::Replied(reply.clone()))
+                (revision_check(key, *claim), State::Replied(reply.clone()))
             }
-            Phase::Releasing { claim } => (revision(key, *claim), State::Released),
+            Phase::Releasing { claim } => (revision_check(key, *claim), State::Released),
             Phase::Sending { .. } | Phase::Finished => return Actions::new(),
         };
         let Request { nonce, digest, unix_ms, .. } = self.request;
@@ -294,6 +313,6 @@
     }
 }
 
-fn revision(key: &Key, revision: u64) -> Check {
+fn revision_check(key: &Key, revision: u64) -> Check {
     Check::Revision(key.clone(), revision)
 }
--- a/mimosashift/src/posting/mod.rs
+++ b/mimosashift/src/posting/mod.rs
@@ -1,8 +1,8 @@
-//! Calls to services that may not be repeated.
+//! Calls to services that must not be executed twice.
 //!
 //! A call with an idempotency key is claimed by one conditional write before
-//! it is sent, so that no other router sends it too. The protocol and what
-//! must hold are described in `docs/design/postings.md`.
+//! it is sent, so that no other router sends it too. The protocol and its
+//! invariants are described in `docs/design/postings.md`.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 /// Table that holds the claims.
 pub const TABLE: &str = "posting";
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const MAX_KEY_BYTES: usize = 255;
 
 quick_error! {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Distinguishes the tries of one call; drawn at random for each try.
+/// Distinguishes the attempts at one call; drawn at random for each attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Nonce(pub u64);
 
@@ -53,58 +53,59 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest([u8; 32]);
 
-/// Limits on the time and number of tries of one call.
+/// Limits on the duration and the retries of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// Time after the start in which the call may be sent.
     pub send_window: Duration,
-    /// Time in which an outcome is recorded or a claim withdrawn.
+    /// Time within which a reply is recorded or a claim released.
     pub settle_window: Duration,
-    /// Time before the first repeat of a write; it doubles up to 64 times this.
+    /// Pause before the first retry of a write; it doubles up to 64 times this.
     pub retry_pause: Duration,
-    /// Most connection attempts to the service.
-    pub connects: u8,
+    /// Maximum number of connection attempts to the service.
+    pub max_connect_attempts: u8,
 }
 
-/// One try of a call.
+/// One attempt at a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
     /// Row of the claim, see [`claim_key`]; `None` for a call without an
     /// idempotency key.
     pub key: Option<Key>,
-    /// Identifies this try.
+    /// Identifies this attempt.
     pub nonce: Nonce,
-    /// What the call asks for.
+    /// Digest of the HTTP request.
     pub digest: Digest,
-    /// Wall clock time of the try, in milliseconds since the Unix epoch.
+    /// Wall clock time of the attempt, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
-/// What the service did with the call.
+/// Result of sending a call to the service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Delivery {
-    /// No connection was made: not one byte can have reached the service.
+    /// No connection was established: no byte can have reached the service.
     NotConnected,
-    /// The service answered.
+    /// The service sent a complete reply.
     Replied(Reply),
-    /// Bytes were sent but no whole answer came: it may have run.
+    /// Bytes were sent, but no complete reply arrived: the call may have run.
     Lost,
 }
 
-/// What the caller is told.
+/// What the caller is answered.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// The service's answer to this try.
+    /// The service's reply to this attempt.
     Replied(Reply),
-    /// The recorded answer to an earlier try of the same call.
+    /// The recorded reply to an earlier attempt at the same call.
     Recorded(Reply),
-    /// An operator resolved an earlier try as run; its answer is not known.
+    /// An operator resolved an earlier attempt as executed; its reply is not
+    /// known.
     Ran,
     /// The key was used before for a different call; nothing was run.
     Mismatch,
-    /// This or an earlier try may have run or is still running.
+    /// This or an earlier attempt may have run or may still be running.
     Unknown,
-    /// This try did not run and will not run.
+    /// This attempt did not run and will not run.
     NotRun,
 }
 
@@ -126,14 +127,14 @@
             send_window: Duration::from_secs(5),
             settle_window: Duration::from_secs(7_200),
             retry_pause: Duration::from_millis(200),
-            connects: 3,
+            max_connect_attempts: 3,
         }
     }
 }
 
-/// The row that claims `idempotency_key` of `team` at `service`.
+/// The row that holds the claim for `idempotency_key` of `team` at `service`.
 ///
-/// Names hold no `/`, so that two scopes never share a row.
+/// Names contain no `/`, so two scopes never share a row.
 pub fn claim_key(team: &Name, service: &Name, idempotency_key: &str) -> Result<Key, Error> {
     let printable = idempotency_key.bytes().all(|b| b.is_ascii_graphic());
     if idempotency_key.is_empty() || idempotency_key.len() > MAX_KEY_BYTES || !printable {
--- a/mimosashift/src/posting/reply.rs
+++ b/mimosashift/src/posting/reply.rs
@@ -1,29 +1,29 @@
-//! A service's answer as it is recorded.
+//! A service's reply, as it is returned and recorded.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// Largest body kept in a record; of a larger one only the digest is kept.
+/// Largest body that is stored in a record; a larger one is stored as a digest.
 pub const MAX_RECORDED_BODY_BYTES: usize = 16 * 1024;
 
-/// A service's answer.
+/// An HTTP reply of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// The headers that are kept, in order.
+    /// The retained headers, in order.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Body,
 }
 
-/// The body of an answer.
+/// The body of a reply.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "WireBody", into = "WireBody")]
 pub enum Body {
-    /// All bytes.
+    /// The complete body.
     Whole(Vec<u8>),
-    /// SHA-256 of a body that was too large to keep.
+    /// SHA-256 of a body that was too large to store.
     Digest([u8; 32]),
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl Reply {
-    /// The answer as it is recorded, with a large body replaced by its digest.
+    /// The reply as it is recorded, with a large body replaced by its digest.
     pub fn to_record(&self) -> Self {
         let body = match &self.body {
             Body::Whole(bytes) if bytes.len() > MAX_RECORDED_BODY_BYTES => {
--- a/mimosashift/src/posting/resolve.rs
+++ b/mimosashift/src/posting/resolve.rs
@@ -1,4 +1,4 @@
-//! Claims that an operator settles, and rows that have expired.
+//! Resolution of claims by an operator, and expiry of old rows.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 use super::{Entry, State};
 use crate::platform::{Check, Row, Transaction, Write};
 
-/// Shortest age of a claim that may be resolved as not run; far above the
-/// time in which its router may still send the call.
+/// Minimum age of a claim that may be resolved; far above the time within
+/// which its router may still send the call.
 pub const MIN_RESOLVE_AGE: Duration = Duration::from_secs(600);
 
-/// How an operator settles a claim whose outcome is unknown.
+/// How an operator resolves a claim whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The call ran; its key stays used.
+    /// The call ran; its key cannot be reused.
     Ran,
-    /// The call did not run; its key may be used again.
+    /// The call did not run; its key may be reused.
     NotRun,
 }
 
@@ -30,19 +30,19 @@
             from()
             display("{}", e)
         }
-        /// The outcome is known already.
+        /// The outcome is already known.
         Settled(key: String) {
             display("claim {:?} is settled already", key)
         }
-        /// Its router may still send the call.
+        /// The router that wrote the claim may still send the call.
         TooYoung(key: String, age: Duration) {
             display("claim {:?} is {} s old, must be {} s", key, age.as_secs(), MIN_RESOLVE_AGE.as_secs())
         }
     }
 }
 
-/// The transaction that resolves the claim in `row` at `unix_ms` and appends
-/// the `audit` record.
+/// Returns the transaction that resolves the claim in `row` at `unix_ms` and
+/// appends the `audit` record.
 pub fn resolve(
     row: &Row,
     verdict: Verdict,
@@ -68,17 +68,19 @@
     })
 }
 
-/// The claims among `rows` that wait for an operator at `unix_ms`.
+/// The claims among `rows` that an operator has to resolve, as of `unix_ms`.
 pub fn unresolved(rows: &[Row], unix_ms: u64) -> impl Iterator<Item = (&Row, Entry)> {
     rows.iter().filter_map(move |row| {
         let entry = Entry::try_from(row).ok()?;
-        let waits = entry.state == State::Claimed && age(&entry, unix_ms) >= MIN_RESOLVE_AGE;
-        waits.then_some((row, entry))
+        let is_unresolved =
+            entry.state == State::Claimed && age(&entry, unix_ms) >= MIN_RESOLVE_AGE;
+        is_unresolved.then_some((row, entry))
     })
 }
 
-/// The transaction that deletes the settled claims among `rows` that are
-/// older than `retention` at `unix_ms`, at most `limit`; `None` without any.
+/// Returns the transaction that deletes at most `limit` settled claims among
+/// `rows` that are at least `retention` old at `unix_ms`, or `None` if there
+/// are none.
 ///
 /// A claim whose outcome is unknown never expires.
 pub fn expire(
--- a/mimosashift/tests/common/posting_world.rs
+++ b/mimosashift/tests/common/posting_world.rs
@@ -69,7 +69,7 @@
     send_window: Duration::from_millis(10),
     settle_window: Duration::from_millis(1_000),
     retry_pause: Duration::from_millis(4),
-    connects: 2,
+    max_connect_attempts: 2,
 };
 
 impl World {
