--- a/mimosashift/src/pipeline/action.rs
+++ b/mimosashift/src/pipeline/action.rs
@@ -1,4 +1,4 @@
-//! What the machine is given and what it asks of its caller.
+//! Inputs of the state machine and the actions that it requests.
 
 use std::time::Duration;
 
@@ -10,67 +10,67 @@
 use crate::resource::{Layers, Name};
 use crate::time::Instant;
 
-/// Actions of one input, in the order in which they must be carried out.
+/// Actions after one input, in the order in which they must be carried out.
 pub type Actions = SmallVec<[Action; 4]>;
 
-/// What every input of a machine needs besides its own data.
+/// Parameters that every input of a machine needs besides its own data.
 #[derive(Debug)]
 pub struct Context<'a> {
     /// The current time.
     pub now: Instant,
-    /// Randomness for backoff.
+    /// Random number generator for backoff.
     pub rng: &'a mut Pcg64Mcg,
-    /// Budget shared by the requests of a router.
+    /// Retry budget shared by the requests of a router.
     pub budget: &'a mut Budget,
 }
 
-/// What a caller asked for.
+/// A completion request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Identifies it in every label.
+    /// Identifies the request in every label.
     pub id: RequestId,
     /// Token ids of the prompt, at least one.
     pub prompt: Vec<u32>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Token that ends the answer early; it is not emitted.
+    /// Token that ends the completion early; it is not emitted.
     pub stop: Option<u32>,
-    /// When the answer must be whole.
+    /// When the completion must be finished.
     pub deadline: Instant,
-    /// Priority level for the engines' queues, 0 first.
+    /// Priority level in the engines' queues; 0 is served first.
     pub priority: u8,
-    /// The adapter, if the caller named one.
+    /// Adapter to apply, if the caller named one.
     pub adapter: Option<Name>,
 }
 
-/// Something that the caller of the machine must do.
+/// An action that the caller of the machine must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Run a step; answer with `on_reply` or `on_failure`.
+    /// Run a step; report the result through `on_reply` or `on_failure`.
     Send {
-        /// Where to run it.
+        /// Endpoint that runs it.
         endpoint: Name,
-        /// What to run.
+        /// The step.
         step: Step,
         /// How long the exchange may take.
         timeout: Duration,
     },
-    /// Copy KV cache between endpoints; answer with `on_import`.
+    /// Copy KV cache between endpoints; report the result through `on_import`.
     Import {
         /// Endpoint that holds the cache.
         from: Name,
-        /// Endpoint that takes it over, in place of any cache of the label's
-        /// request, attempt and layers.
+        /// Endpoint that receives it. The copy replaces any cache that this
+        /// endpoint holds for the label's request, attempt and layers.
         to: Name,
         /// The cache: `count` tokens from position 0.
         label: Label,
         /// How long the exchange may take.
         timeout: Duration,
     },
-    /// Stop and release this and earlier attempts at an endpoint. No answer is
-    /// awaited, and the exchange must not delay other actions.
+    /// Stop and release this and earlier attempts at an endpoint. The result is
+    /// not reported back, and the exchange must not delay other actions.
     CancelEngine {
-        /// Where.
+        /// The endpoint.
         endpoint: Name,
         /// The request.
         request: RequestId,
@@ -79,29 +79,29 @@
     },
     /// Pass the next token to the caller of the request.
     Emit(u32),
-    /// Choose endpoints for lost layers; answer with `on_chain`.
+    /// Choose endpoints for lost layers; report the result through `on_chain`.
     NeedChain {
         /// Endpoints that the new chain must not use.
         avoid: SmallVec<[Name; 4]>,
-        /// What to replace.
+        /// Part of the chain to replace.
         scope: Scope,
     },
-    /// Choose a second chain for the prompt; answer with `on_hedge`.
+    /// Choose a second chain for the prompt; report the result through
+    /// `on_hedge`.
     NeedHedge {
-        /// Endpoints that it must not use.
+        /// Endpoints that the second chain must not use.
         avoid: SmallVec<[Name; 4]>,
     },
-    /// The request is over; it is the last action of a request but for the
-    /// cancellations that follow it.
+    /// The request is finished. Only cancellations may follow this action.
     Finish(Outcome),
 }
 
-/// Which part of a chain is to be replaced.
+/// Part of a chain that is to be replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Every stage; no stage holds state yet.
+    /// Every stage; none holds any state yet.
     Whole,
-    /// The stage of these layers; a chain that keeps the others costs least.
+    /// The stage of these layers; keeping the other stages is cheapest.
     Range(Layers),
 }
 
@@ -110,32 +110,32 @@
 pub enum Outcome {
     /// Every token was emitted.
     Complete,
-    /// It was given up.
+    /// The request failed.
     Failed {
-        /// Why.
+        /// Cause of the failure.
         code: Code,
-        /// Whether any of it ran.
+        /// Whether any part of the request ran.
         effect: Effect,
-        /// When a new try may succeed.
+        /// Time after which a retry may succeed.
         retry_after: Option<Duration>,
     },
     /// The deadline passed.
     DeadlineExceeded {
-        /// Whether any of it ran.
+        /// Whether any part of the request ran.
         effect: Effect,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
 }
 
-/// Why a request was given up.
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
-    /// No chain is left that could run the layers.
+    /// No available chain can run the layers.
     NoChain,
-    /// The retry budget is spent.
+    /// The retry budget is exhausted.
     RetryBudget,
-    /// It could not have finished before its deadline.
+    /// The request cannot finish before its deadline.
     OutOfTime,
     /// The prompt is empty.
     EmptyPrompt,
@@ -144,10 +144,10 @@
 /// Whether any part of a failed request ran on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Effect {
-    /// Provably nothing ran: nothing was sent, or every send was refused.
+    /// Nothing ran: nothing was sent, or every step sent was refused.
     NotRun,
     /// Something was sent and may have run.
     Unknown,
-    /// Something ran, and the answer is not whole.
+    /// Something ran, but the completion is incomplete.
     Failed,
 }
--- a/mimosashift/src/pipeline/hedge.rs
+++ b/mimosashift/src/pipeline/hedge.rs
@@ -1,4 +1,4 @@
-//! A second chain for a first token that is late.
+//! Request hedging: starts a second chain when the first token is late.
 
 use std::time::Duration;
 
@@ -15,34 +15,35 @@
 use crate::route::Chain;
 use crate::time::Instant;
 
-/// First attempt of the second chain, above every attempt of the first.
+/// First attempt number of the second chain, above every attempt of the first.
 const HEDGE_ATTEMPT: u32 = 1 << 16;
 
 /// A request that may run its prompt on two chains at once.
 ///
-/// The chains share no endpoint and no attempt. The first one to give a token
-/// goes on alone; a chain that would need recovery before that is given up in
+/// The chains share no endpoint and no attempt. The first one to return a token
+/// continues alone; a chain that would need recovery before that is cancelled in
 /// favour of the other. Inputs are those of [`Machine`].
 #[derive(Debug)]
 pub struct Hedge {
-    /// The first chain's machine, then the second's.
-    runners: SmallVec<[Machine; 1]>,
+    /// Machine of the first chain, then that of the second.
+    machines: SmallVec<[Machine; 1]>,
     state: State,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The second chain starts at this time.
+    /// A second chain is requested at this time.
     Waiting(Instant),
-    /// A second chain was asked for.
-    Asked,
-    /// No further chain will be asked for.
-    Settled,
+    /// A second chain was requested.
+    Requested,
+    /// No further chain will be requested.
+    Closed,
 }
 
 impl Hedge {
     /// Starts a request like [`Machine::start`]; `delay` is the time to wait
-    /// for the first token before a second chain is tried, or `None` for never.
+    /// for the first token before a second chain is requested, or `None` to never
+    /// hedge.
     pub fn start(
         ctx: &mut Context<'_>,
         request: Request,
@@ -52,17 +53,17 @@
         delay: Option<Duration>,
     ) -> (Self, Actions) {
         let (machine, actions) = Machine::start(ctx, request, chain, cost, limits);
-        let state = delay.map_or(State::Settled, |delay| State::Waiting(ctx.now + delay));
-        let mut runners = SmallVec::new();
-        runners.push(machine);
-        (Self { runners, state }, actions)
+        let state = delay.map_or(State::Closed, |delay| State::Waiting(ctx.now + delay));
+        let mut machines = SmallVec::new();
+        machines.push(machine);
+        (Self { machines, state }, actions)
     }
 
     /// See [`Machine::on_reply`].
     pub fn on_reply(&mut self, ctx: &mut Context<'_>, endpoint: &Name, reply: Reply) -> Actions {
-        let runner = self.runner_of(&reply.label);
-        let actions = self.runners[runner].on_reply(ctx, endpoint, reply);
-        self.settle(runner, actions)
+        let index = self.index_of(&reply.label);
+        let actions = self.machines[index].on_reply(ctx, endpoint, reply);
+        self.merge(index, actions)
     }
 
     /// See [`Machine::on_failure`].
@@ -74,16 +75,16 @@
         failure: &Failure,
         retry_after: Option<Duration>,
     ) -> Actions {
-        let runner = self.runner_of(label);
-        let actions = self.runners[runner].on_failure(ctx, endpoint, label, failure, retry_after);
-        self.settle(runner, actions)
+        let index = self.index_of(label);
+        let actions = self.machines[index].on_failure(ctx, endpoint, label, failure, retry_after);
+        self.merge(index, actions)
     }
 
     /// See [`Machine::on_chain`].
     pub fn on_chain(&mut self, ctx: &mut Context<'_>, replacement: Option<Replacement>) -> Actions {
-        let runner = self.current();
-        let actions = self.runners[runner].on_chain(ctx, replacement);
-        self.settle(runner, actions)
+        let index = self.current();
+        let actions = self.machines[index].on_chain(ctx, replacement);
+        self.merge(index, actions)
     }
 
     /// See [`Machine::on_import`].
@@ -94,37 +95,38 @@
         label: &Label,
         result: Result<(), &Failure>,
     ) -> Actions {
-        let runner = self.runner_of(label);
-        let actions = self.runners[runner].on_import(ctx, to, label, result);
-        self.settle(runner, actions)
+        let index = self.index_of(label);
+        let actions = self.machines[index].on_import(ctx, to, label, result);
+        self.merge(index, actions)
     }
 
-    /// Takes the answer to [`Action::NeedHedge`]; `None` when there is none.
+    /// Handles the result of [`Action::NeedHedge`]; `None` if no chain was found.
     ///
     /// A chain that shares an endpoint with the first one is not used, because
-    /// an engine keeps only the latest attempt.
+    /// an engine only keeps the state of the latest attempt.
     pub fn on_hedge(&mut self, ctx: &mut Context<'_>, replacement: Option<Replacement>) -> Actions {
-        if self.state != State::Asked {
+        if self.state != State::Requested {
             return Actions::new();
         }
-        self.state = State::Settled;
-        let first = &self.runners[0];
-        let second = replacement.and_then(|found| first.hedge(ctx, found, HEDGE_ATTEMPT));
+        self.state = State::Closed;
+        let first = &self.machines[0];
+        let second =
+            replacement.and_then(|replacement| first.hedge(ctx, replacement, HEDGE_ATTEMPT));
         let Some((machine, actions)) = second else { return Actions::new() };
-        self.runners.push(machine);
-        self.settle(1, actions)
+        self.machines.push(machine);
+        self.merge(1, actions)
     }
 
-    /// See [`Machine::on_time`]; a second chain is taken from the budget
-    /// `hedges`, apart from the one for retries.
+    /// See [`Machine::on_time`]; a second chain is charged to the budget `hedges`,
+    /// which is separate from the retry budget.
     pub fn on_time(&mut self, ctx: &mut Context<'_>, hedges: &mut Budget) -> Actions {
         let mut actions = Actions::new();
-        for runner in 0..self.runners.len() {
-            let more = self.runners[runner].on_time(ctx);
-            actions.extend(self.settle(runner, more));
+        for index in 0..self.machines.len() {
+            let more = self.machines[index].on_time(ctx);
+            actions.extend(self.merge(index, more));
         }
         if matches!(self.state, State::Waiting(at) if ctx.now >= at) {
-            self.ask(ctx.now, hedges, &mut actions);
+            self.request_chain(ctx.now, hedges, &mut actions);
         }
         actions
     }
@@ -132,132 +134,132 @@
     /// See [`Machine::cancel`].
     pub fn cancel(&mut self) -> Actions {
         let mut actions = Actions::new();
-        for runner in 0..self.runners.len() {
-            let more = self.runners[runner].cancel();
-            actions.extend(self.settle(runner, more));
+        for index in 0..self.machines.len() {
+            let more = self.machines[index].cancel();
+            actions.extend(self.merge(index, more));
         }
         actions
     }
 
     /// See [`Machine::next_deadline`].
     pub fn next_deadline(&self) -> Option<Instant> {
-        let next = self.runners.iter().filter_map(Machine::next_deadline).min()?;
+        let next = self.machines.iter().filter_map(Machine::next_deadline).min()?;
         match self.state {
             State::Waiting(at) => Some(next.min(at)),
-            State::Asked | State::Settled => Some(next),
+            State::Requested | State::Closed => Some(next),
         }
     }
 
-    /// Whether the request is over.
+    /// Whether the request is finished.
     pub fn is_done(&self) -> bool {
-        self.runners.iter().all(Machine::is_done)
+        self.machines.iter().all(Machine::is_done)
     }
 
     /// The chain in use; the first one while there are two.
     pub fn chain(&self) -> &Chain {
-        self.runners[self.current()].chain()
+        self.machines[self.current()].chain()
     }
 
     /// Tokens emitted so far.
     pub fn emitted(&self) -> &[u32] {
-        let emitted = self.runners.iter().map(Machine::emitted);
+        let emitted = self.machines.iter().map(Machine::emitted);
         emitted.max_by_key(|tokens| tokens.len()).unwrap_or_default()
     }
 
-    /// Recoveries so far, on both chains.
+    /// Number of recoveries so far, on both chains.
     pub fn recovered(&self) -> u32 {
-        self.runners.iter().map(Machine::recovered).sum()
+        self.machines.iter().map(Machine::recovered).sum()
     }
 
-    /// Whether a second chain was tried.
+    /// Whether a second chain was started.
     pub fn hedged(&self) -> bool {
-        self.runners.len() > 1
+        self.machines.len() > 1
     }
 
-    /// Answers that were dropped for `reason`.
+    /// Number of replies dropped for `reason`.
     pub fn dropped(&self, reason: Reason) -> u32 {
         self.drops().map(|drops| drops.count(reason)).sum()
     }
 
-    /// Answers that were dropped for any reason.
+    /// Number of replies dropped for any reason.
     pub fn total_dropped(&self) -> u32 {
         self.drops().map(Drops::total).sum()
     }
 
     fn drops(&self) -> impl Iterator<Item = &Drops> {
-        self.runners.iter().map(Machine::drops)
+        self.machines.iter().map(Machine::drops)
     }
 
-    /// The first machine that is not over.
+    /// Index of the first machine that is not finished.
     fn current(&self) -> usize {
-        self.runners.iter().position(|machine| !machine.is_done()).unwrap_or_default()
+        self.machines.iter().position(|machine| !machine.is_done()).unwrap_or_default()
     }
 
-    /// The machine that an answer belongs to.
-    fn runner_of(&self, label: &Label) -> usize {
-        let racing = self.runners.iter().all(|machine| !machine.is_done());
-        if !racing {
+    /// Index of the machine that a reply belongs to.
+    fn index_of(&self, label: &Label) -> usize {
+        let is_race = self.machines.iter().all(|machine| !machine.is_done());
+        if !is_race {
             return self.current();
         }
         usize::from(self.hedged() && label.attempt >= HEDGE_ATTEMPT)
     }
 
-    fn ask(&mut self, now: Instant, hedges: &mut Budget, actions: &mut Actions) {
-        self.state = State::Settled;
-        let avoid = self.runners[0].hedge_avoid(now);
+    fn request_chain(&mut self, now: Instant, hedges: &mut Budget, actions: &mut Actions) {
+        self.state = State::Closed;
+        let avoid = self.machines[0].hedge_exclusions(now);
         let Some(avoid) = avoid else { return };
         if hedges.take(now).is_ok() {
-            self.state = State::Asked;
+            self.state = State::Requested;
             actions.push(Action::NeedHedge { avoid });
         }
     }
 
-    /// Passes on what one machine asks for, unless it concerns the other too.
-    fn settle(&mut self, runner: usize, actions: Actions) -> Actions {
+    /// Forwards the actions of one machine, adjusted to the state of the other.
+    fn merge(&mut self, index: usize, actions: Actions) -> Actions {
         if actions.iter().any(|action| matches!(action, Action::Emit(_))) {
-            self.state = State::Settled;
+            self.state = State::Closed;
         }
-        let other = 1 - runner;
-        let raced = self.runners.get(other).is_some_and(|machine| !machine.is_done());
-        let actions = if raced { self.race(runner, actions) } else { actions };
-        let effect = self.runners.iter().map(Machine::effect).max();
+        let other = 1 - index;
+        let is_race = self.machines.get(other).is_some_and(|machine| !machine.is_done());
+        let actions = if is_race { self.race(index, actions) } else { actions };
+        let effect = self.machines.iter().map(Machine::effect).max();
         actions.into_iter().map(|action| with_effect(action, effect)).collect()
     }
 
-    /// Decides between two live machines after one of them has acted.
-    fn race(&mut self, runner: usize, mut actions: Actions) -> Actions {
+    /// Decides between two running machines after one of them has acted.
+    fn race(&mut self, index: usize, mut actions: Actions) -> Actions {
         let wins =
             |action: &Action| matches!(action, Action::Emit(_) | Action::Finish(Outcome::Complete));
         if actions.iter().any(wins) {
-            actions.extend(self.give_up(1 - runner));
+            actions.extend(self.cancel_loser(1 - index));
             return actions;
         }
         let loses =
             |action: &Action| matches!(action, Action::NeedChain { .. } | Action::Finish(_));
         if actions.iter().any(loses) {
             actions.retain(|action| !loses(action));
-            actions.extend(self.give_up(runner));
+            actions.extend(self.cancel_loser(index));
         }
         actions
     }
 
-    /// Ends one machine; the other one goes on alone.
-    fn give_up(&mut self, loser: usize) -> Actions {
-        let mut actions = self.runners[loser].cancel();
+    /// Cancels one machine; the other one continues alone.
+    fn cancel_loser(&mut self, loser: usize) -> Actions {
+        let mut actions = self.machines[loser].cancel();
         actions.retain(|action| !matches!(action, Action::Finish(_)));
-        let (first, second) = self.runners.split_at_mut(1);
+        let (first, second) = self.machines.split_at_mut(1);
         let (winner, loser) = match loser {
             0 => (&mut second[0], &first[0]),
             _ => (&mut first[0], &second[0]),
         };
-        winner.outlive(loser);
+        winner.continue_alone(loser);
         actions
     }
 }
 
-/// A failure says what became of both chains.
-fn with_effect(action: Action, both: Option<Effect>) -> Action {
-    let outcome = match (action, both) {
+/// Sets the effect of a failure to the one that covers both chains.
+fn with_effect(action: Action, combined: Option<Effect>) -> Action {
+    let outcome = match (action, combined) {
         (Action::Finish(Outcome::Failed { code, retry_after, .. }), Some(effect)) => {
             Outcome::Failed { code, effect, retry_after }
         }
--- a/mimosashift/src/pipeline/ledger.rs
+++ b/mimosashift/src/pipeline/ledger.rs
@@ -1,4 +1,4 @@
-//! Which reply may be accepted next.
+//! Accepts the one reply that is expected next and drops all others.
 
 use std::fmt;
 
@@ -8,9 +8,9 @@
 /// Why a reply or failure was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// No step is in flight: a doubled or late answer.
+    /// No step is in flight: the reply is late or a duplicate.
     Idle,
-    /// It answers another request.
+    /// It belongs to another request.
     Request,
     /// It carries another model or version.
     Version,
@@ -20,7 +20,7 @@
     Position,
     /// It carries another layer range.
     Layers,
-    /// It comes from an endpoint that was not asked.
+    /// It comes from an endpoint to which the step was not sent.
     Endpoint,
 }
 
@@ -36,7 +36,7 @@
         Self::Endpoint,
     ];
 
-    /// Name for metrics.
+    /// Label value in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Idle => "idle",
@@ -56,17 +56,17 @@
     }
 }
 
-/// Number of dropped answers for each reason.
+/// Number of dropped replies for each reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Drops([u32; Reason::ALL.len()]);
 
 impl Drops {
-    /// Answers dropped for `reason`.
+    /// Replies dropped for `reason`.
     pub const fn count(&self, reason: Reason) -> u32 {
         self.0[reason as usize]
     }
 
-    /// Answers dropped for any reason.
+    /// Replies dropped for any reason.
     pub fn total(&self) -> u32 {
         self.0.iter().sum()
     }
@@ -76,10 +76,10 @@
     }
 }
 
-/// The one answer that may be accepted, and a count of those that were not.
+/// The one reply, failure or import result that may be accepted next, and
+/// counts of those dropped.
 ///
-/// An expectation is used up by the answer that meets it, so a doubled answer
-/// never matches.
+/// An accepted reply clears the expectation, so a duplicate never matches.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     expected: Option<(Name, Label)>,
@@ -87,43 +87,43 @@
 }
 
 impl Ledger {
-    /// Replaces the expectation.
+    /// Replaces the expected reply.
     pub fn expect(&mut self, endpoint: Name, label: Label) {
         self.expected = Some((endpoint, label));
     }
 
-    /// Expects nothing: whatever arrives now is late.
+    /// Expects no reply: whatever arrives from now on is late.
     pub fn clear(&mut self) {
         self.expected = None;
     }
 
-    /// Accepts an answer at most once; otherwise counts why it was dropped.
+    /// Accepts the expected reply once; drops and counts any other.
     pub fn accept(&mut self, endpoint: &Name, label: &Label) -> Result<(), Reason> {
-        let checked = self.check(endpoint, label);
-        match checked {
+        let result = self.check(endpoint, label);
+        match result {
             Ok(()) => self.expected = None,
             Err(reason) => self.drops.add(reason),
         }
-        checked
+        result
     }
 
-    /// Counts an answer to something that is no longer awaited.
+    /// Counts a reply that is no longer expected.
     pub const fn reject_idle(&mut self) {
         self.drops.add(Reason::Idle);
     }
 
-    /// Whether an answer is awaited.
+    /// Whether a reply is expected.
     pub const fn is_waiting(&self) -> bool {
         self.expected.is_some()
     }
 
-    /// The answers dropped so far.
+    /// Counts of the replies dropped so far.
     pub const fn drops(&self) -> &Drops {
         &self.drops
     }
 
     fn check(&self, endpoint: &Name, label: &Label) -> Result<(), Reason> {
-        let Some((asked, expected)) = &self.expected else { return Err(Reason::Idle) };
+        let Some((expected_endpoint, expected)) = &self.expected else { return Err(Reason::Idle) };
         let same_version = label.pipeline == expected.pipeline && label.version == expected.version;
         let same_position = label.position == expected.position && label.count == expected.count;
         let checks = [
@@ -132,9 +132,9 @@
             (label.attempt == expected.attempt, Reason::Attempt),
             (same_position, Reason::Position),
             (label.layers == expected.layers, Reason::Layers),
-            (endpoint == asked, Reason::Endpoint),
+            (endpoint == expected_endpoint, Reason::Endpoint),
         ];
-        match checks.iter().find(|(same, _)| !same) {
+        match checks.iter().find(|(matches, _)| !matches) {
             Some((_, reason)) => Err(*reason),
             None => Ok(()),
         }
--- a/mimosashift/src/pipeline/machine/finish.rs
+++ b/mimosashift/src/pipeline/machine/finish.rs
@@ -1,15 +1,15 @@
-//! How a request ends.
+//! Completion, failure and cancellation of a request.
 
 use std::time::Duration;
 
-use super::{Certainty, Machine, Phase, Use};
+use super::{Execution, Machine, Phase, UsedEndpoint};
 use crate::engine::RequestId;
 use crate::pipeline::action::{Action, Actions, Code, Context, Effect, Outcome};
 
 impl Machine {
-    /// Finishes when the deadline has passed; true when there is nothing more
-    /// to do.
-    pub(super) fn expired(&mut self, ctx: &Context<'_>, actions: &mut Actions) -> bool {
+    /// Finishes the request if its deadline has passed. Returns whether the
+    /// request is finished.
+    pub(super) fn finish_if_expired(&mut self, ctx: &Context<'_>, actions: &mut Actions) -> bool {
         if self.is_done() {
             return true;
         }
@@ -31,8 +31,8 @@
         self.finish(Outcome::Failed { code, effect, retry_after }, actions);
     }
 
-    /// Fails a request of which nothing was sent.
-    pub(super) fn fail_first(&self, code: Code, actions: &mut Actions) {
+    /// Fails a request before anything was sent.
+    pub(super) fn fail_before_send(&self, code: Code, actions: &mut Actions) {
         let effect = Effect::NotRun;
         actions.push(Action::Finish(Outcome::Failed { code, effect, retry_after: None }));
     }
@@ -43,7 +43,7 @@
         }
         self.phase = Phase::Done;
         if self.ledger.is_waiting() {
-            self.certainty = self.certainty.max(Certainty::MayHaveRun);
+            self.execution = self.execution.max(Execution::MayHaveRun);
         }
         self.ledger.clear();
         actions.push(Action::Finish(outcome));
@@ -52,19 +52,19 @@
         }
     }
 
-    /// What became of the steps sent so far.
+    /// Whether any of the steps sent so far ran.
     pub(in crate::pipeline) const fn effect(&self) -> Effect {
-        match self.certainty {
-            Certainty::Ran => Effect::Failed,
-            Certainty::MayHaveRun => Effect::Unknown,
-            Certainty::NothingRan if self.ledger.is_waiting() => Effect::Unknown,
-            Certainty::NothingRan => Effect::NotRun,
+        match self.execution {
+            Execution::Ran => Effect::Failed,
+            Execution::MayHaveRun => Effect::Unknown,
+            Execution::NothingRan if self.ledger.is_waiting() => Effect::Unknown,
+            Execution::NothingRan => Effect::NotRun,
         }
     }
 }
 
-impl Use {
-    /// Has the endpoint release the attempt, once.
+impl UsedEndpoint {
+    /// Tells the endpoint to release the attempt; does nothing the second time.
     pub(super) fn release(&mut self, request: RequestId) -> Option<Action> {
         let (endpoint, attempt) = (self.endpoint.clone(), self.attempt);
         let released = std::mem::replace(&mut self.released, true);
--- a/mimosashift/src/pipeline/machine/mod.rs
+++ b/mimosashift/src/pipeline/machine/mod.rs
@@ -1,4 +1,4 @@
-//! The state machine of one request.
+//! State machine of one request.
 
 use std::time::Duration;
 
@@ -19,19 +19,19 @@
 mod recover;
 mod step;
 
-/// How long a failed endpoint is not asked again.
-const AVOID: Duration = Duration::from_secs(1);
-/// How long a chain is looked for before the request is given up.
-const CHAIN_WAIT: Duration = Duration::from_secs(4);
-/// Shortest pause between two searches for a chain.
-const CHAIN_RETRY_MIN: Duration = Duration::from_millis(50);
+/// How long a failed endpoint is excluded.
+const AVOID_PERIOD: Duration = Duration::from_secs(1);
+/// How long a chain is searched for before the request fails.
+const CHAIN_SEARCH_TIMEOUT: Duration = Duration::from_secs(4);
+/// Minimum pause between two searches for a chain.
+const MIN_CHAIN_SEARCH_PAUSE: Duration = Duration::from_millis(50);
 
 /// A chain that replaces an interrupted one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replacement {
     /// The chain.
     pub chain: Chain,
-    /// Endpoints of the old chain whose KV cache can probably still be read.
+    /// Endpoints of the old chain whose KV cache is probably still readable.
     pub holders: SmallVec<[Name; 4]>,
     /// Cost of recovery on the new chain.
     pub cost: Cost,
@@ -39,8 +39,8 @@
 
 /// Drives one request through the stages of a chain.
 ///
-/// Inputs may come in any order and any number of times: whatever does not
-/// answer the step in flight is dropped. The request finishes exactly once,
+/// Inputs may arrive in any order and any number of times: a reply that does
+/// not match the step in flight is dropped. The request finishes exactly once,
 /// with [`Action::Finish`](super::Action::Finish); later inputs yield nothing.
 #[derive(Debug)]
 pub struct Machine {
@@ -48,80 +48,81 @@
     chain: Chain,
     cost: Cost,
     attempt: u32,
-    /// Least number of the next attempt.
+    /// Lowest number that the next attempt may use.
     next_attempt: u32,
-    /// Prompt and accepted tokens.
+    /// Prompt followed by the accepted tokens.
     tokens: Vec<u32>,
-    work: Work,
+    step: PendingStep,
     phase: Phase,
     ledger: Ledger,
     progress: Progress,
     avoid: SmallVec<[(Name, Instant); 4]>,
-    /// Endpoints whose state is lost or cannot be trusted.
-    gone: SmallVec<[Name; 4]>,
-    used: SmallVec<[Use; 8]>,
-    token_began: Instant,
+    /// Endpoints whose KV cache is lost or unreliable.
+    cache_lost: SmallVec<[Name; 4]>,
+    used: SmallVec<[UsedEndpoint; 8]>,
+    token_started: Instant,
     /// Recoveries since the last accepted token.
-    recoveries: u32,
+    recoveries_since_token: u32,
     overloads: u32,
-    recovered: u32,
-    certainty: Certainty,
+    total_recoveries: u32,
+    execution: Execution,
 }
 
-/// The step to be run next, or in flight.
+/// The step that is in flight or will be sent next.
 #[derive(Debug)]
-struct Work {
+struct PendingStep {
     stage: usize,
     position: u32,
     count: u32,
     input: Input,
 }
 
-/// An endpoint that was given work.
+/// An endpoint that received a step or a cache copy.
 #[derive(Debug)]
-struct Use {
+struct UsedEndpoint {
     endpoint: Name,
-    /// The latest attempt that it was given.
+    /// The latest attempt sent to it.
     attempt: u32,
     released: bool,
 }
 
-/// Where the life cycle of a request stands.
+/// Phase of the life cycle of a request.
 #[derive(Debug)]
 enum Phase {
     /// A step is in flight.
     Running { sent: Instant, until: Instant },
-    /// A pause before the next try.
-    Backoff { until: Instant, next: Next },
-    /// A chain was asked for; `again` is set while none is to be had.
-    Choosing { lost: Layers, since: Instant, again: Option<Instant>, asked: u32 },
-    /// The first of these copies is in flight.
+    /// Waiting before the next retry.
+    Backoff { until: Instant, next: Recovery },
+    /// A chain was requested; `retry_at` is the time of the next request if the last
+    /// one found none.
+    Choosing { lost: Layers, since: Instant, retry_at: Option<Instant>, searches: u32 },
+    /// The first of these transfers is in flight.
     Importing { transfers: SmallVec<[Transfer; 2]>, until: Instant },
-    /// The request is over.
+    /// The request is finished.
     Done,
 }
 
-/// What follows a failure.
+/// How a failed step is recovered.
 #[derive(Clone, Copy, Debug)]
-enum Next {
-    /// Send the refused step again.
+enum Recovery {
+    /// Resend the refused step.
     Resend,
-    /// Run the whole prefix on the same chain as a new attempt.
+    /// Run the whole prefix on the same chain again, as a new attempt.
     Rebuild,
-    /// Move the layers of the stage.
+    /// Move the layers of the failed stage to another endpoint.
     Replace,
 }
 
-/// What is known about work done at engines.
+/// Whether any step of the request ran on an engine, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Certainty {
+enum Execution {
     NothingRan,
     MayHaveRun,
     Ran,
 }
 
 impl Machine {
-    /// Starts a request over `chain` with the first step of its prompt.
+    /// Starts a request on `chain` with the first step of its prompt.
     pub fn start(
         ctx: &mut Context<'_>,
         request: Request,
@@ -132,7 +133,7 @@
         let mut machine = Self::new(request, chain, cost, Progress::new(limits), 1, ctx.now);
         let mut actions = Actions::new();
         ctx.budget.on_request(ctx.now);
-        machine.begin(ctx, &mut actions);
+        machine.send_first_step(ctx, &mut actions);
         (machine, actions)
     }
 
@@ -145,7 +146,7 @@
         now: Instant,
     ) -> Self {
         let tokens = request.prompt.clone();
-        let work = Work::prefill(&tokens);
+        let step = PendingStep::prefill(&tokens);
         progress.rebase(&chain);
         Self {
             request,
@@ -154,25 +155,25 @@
             attempt,
             next_attempt: attempt + 1,
             tokens,
-            work,
+            step,
             phase: Phase::Done,
             ledger: Ledger::default(),
             progress,
             avoid: SmallVec::new(),
-            gone: SmallVec::new(),
+            cache_lost: SmallVec::new(),
             used: SmallVec::new(),
-            token_began: now,
-            recoveries: 0,
+            token_started: now,
+            recoveries_since_token: 0,
             overloads: 0,
-            recovered: 0,
-            certainty: Certainty::NothingRan,
+            total_recoveries: 0,
+            execution: Execution::NothingRan,
         }
     }
 
-    /// Takes the answer of a stage.
+    /// Handles the reply of a stage.
     pub fn on_reply(&mut self, ctx: &mut Context<'_>, endpoint: &Name, reply: Reply) -> Actions {
         let mut actions = Actions::new();
-        if self.expired(ctx, &mut actions) {
+        if self.finish_if_expired(ctx, &mut actions) {
             return actions;
         }
         let Phase::Running { sent, .. } = self.phase else {
@@ -182,17 +183,17 @@
         if self.ledger.accept(endpoint, &reply.label).is_err() {
             return actions;
         }
-        if self.work.count == 1 {
-            self.progress.observe(self.work.stage, ctx.now.since(sent));
+        if self.step.count == 1 {
+            self.progress.observe(self.step.stage, ctx.now.since(sent));
         }
-        let last = self.work.stage + 1 == self.chain.stages().len();
+        let last = self.step.stage + 1 == self.chain.stages().len();
         match reply.output {
             Output::Token(token) if last => self.on_token(ctx, token, &mut actions),
             Output::Hidden(hidden) if !last && !hidden.is_empty() => {
-                self.certainty = Certainty::Ran;
+                self.execution = Execution::Ran;
                 self.overloads = 0;
-                self.work.stage += 1;
-                self.work.input = Input::Hidden(hidden);
+                self.step.stage += 1;
+                self.step.input = Input::Hidden(hidden);
                 self.send(ctx, &mut actions);
             }
             _ => {
@@ -203,9 +204,9 @@
         actions
     }
 
-    /// Takes the news that the step with this label gave no answer.
+    /// Handles the failure of the step with this label.
     ///
-    /// `retry_after` is the pause that the endpoint asked for, if any.
+    /// `retry_after` is the pause that the endpoint requested, if any.
     pub fn on_failure(
         &mut self,
         ctx: &mut Context<'_>,
@@ -215,7 +216,7 @@
         retry_after: Option<Duration>,
     ) -> Actions {
         let mut actions = Actions::new();
-        if self.expired(ctx, &mut actions) {
+        if self.finish_if_expired(ctx, &mut actions) {
             return actions;
         }
         if !matches!(self.phase, Phase::Running { .. }) {
@@ -228,30 +229,33 @@
         actions
     }
 
-    /// Takes the answer to [`Action::NeedChain`](super::Action::NeedChain); `None` when there is none.
+    /// Handles the result of [`Action::NeedChain`](super::Action::NeedChain); `None` if no chain
+    /// was found.
     pub fn on_chain(&mut self, ctx: &mut Context<'_>, replacement: Option<Replacement>) -> Actions {
         let mut actions = Actions::new();
-        if self.expired(ctx, &mut actions) {
+        if self.finish_if_expired(ctx, &mut actions) {
             return actions;
         }
-        let Phase::Choosing { lost, since, again: None, asked } = self.phase else {
+        let Phase::Choosing { lost, since, retry_at: None, searches } = self.phase else {
             return actions;
         };
-        if let Some(replacement) = replacement.filter(|found| self.usable(ctx.now, found)) {
+        if let Some(replacement) =
+            replacement.filter(|replacement| self.is_usable(ctx.now, replacement))
+        {
             self.replace(ctx, replacement, &mut actions);
             return actions;
         }
-        if ctx.now.since(since) >= CHAIN_WAIT {
-            self.fail(Code::NoChain, Some(AVOID), &mut actions);
+        if ctx.now.since(since) >= CHAIN_SEARCH_TIMEOUT {
+            self.fail(Code::NoChain, Some(AVOID_PERIOD), &mut actions);
             return actions;
         }
-        let pause = CHAIN_RETRY_MIN + retry::backoff(asked, None, ctx.rng);
-        self.phase = Phase::Choosing { lost, since, again: Some(ctx.now + pause), asked };
+        let pause = MIN_CHAIN_SEARCH_PAUSE + retry::backoff(searches, None, ctx.rng);
+        self.phase = Phase::Choosing { lost, since, retry_at: Some(ctx.now + pause), searches };
         actions
     }
 
-    /// Takes the answer to [`Action::Import`](super::Action::Import): the label of the cache that the
-    /// endpoint now holds, or the label asked for when there was a failure.
+    /// Handles the result of [`Action::Import`](super::Action::Import): the label of the cache that
+    /// the endpoint now holds, or the requested label after a failure.
     pub fn on_import(
         &mut self,
         ctx: &mut Context<'_>,
@@ -260,7 +264,7 @@
         result: Result<(), &Failure>,
     ) -> Actions {
         let mut actions = Actions::new();
-        if self.expired(ctx, &mut actions) {
+        if self.finish_if_expired(ctx, &mut actions) {
             return actions;
         }
         let Phase::Importing { transfers, .. } = &mut self.phase else {
@@ -280,10 +284,11 @@
         actions
     }
 
-    /// Takes the time; to be called at [`Machine::next_deadline`] or later.
+    /// Handles the passing of time; must be called at [`Machine::next_deadline`]
+    /// or later.
     pub fn on_time(&mut self, ctx: &mut Context<'_>) -> Actions {
         let mut actions = Actions::new();
-        if self.expired(ctx, &mut actions) {
+        if self.finish_if_expired(ctx, &mut actions) {
             return actions;
         }
         match self.phase {
@@ -295,8 +300,10 @@
             Phase::Backoff { until, next } if ctx.now >= until => {
                 self.proceed(ctx, next, &mut actions);
             }
-            Phase::Choosing { lost, since, again: Some(again), asked } if ctx.now >= again => {
-                self.choose(ctx.now, lost, since, asked + 1, &mut actions);
+            Phase::Choosing { lost, since, retry_at: Some(retry_at), searches }
+                if ctx.now >= retry_at =>
+            {
+                self.choose(ctx.now, lost, since, searches + 1, &mut actions);
             }
             Phase::Importing { until, .. } if ctx.now >= until => {
                 self.ledger.clear();
@@ -307,26 +314,27 @@
         actions
     }
 
-    /// Ends the request because its caller went away.
+    /// Ends the request because its caller disconnected.
     pub fn cancel(&mut self) -> Actions {
         let mut actions = Actions::new();
         self.finish(Outcome::Cancelled, &mut actions);
         actions
     }
 
-    /// When [`Machine::on_time`] must be called next, or `None` when done.
+    /// When [`Machine::on_time`] must be called next, or `None` if the request is
+    /// finished.
     pub fn next_deadline(&self) -> Option<Instant> {
         let next = match self.phase {
             Phase::Running { until, .. }
             | Phase::Backoff { until, .. }
             | Phase::Importing { until, .. } => until,
-            Phase::Choosing { again, .. } => again.unwrap_or(self.request.deadline),
+            Phase::Choosing { retry_at, .. } => retry_at.unwrap_or(self.request.deadline),
             Phase::Done => return None,
         };
         Some(next.min(self.request.deadline))
     }
 
-    /// Whether the request is over.
+    /// Whether the request is finished.
     pub const fn is_done(&self) -> bool {
         matches!(self.phase, Phase::Done)
     }
@@ -341,18 +349,18 @@
         &self.tokens[self.request.prompt.len()..]
     }
 
-    /// Recoveries so far.
+    /// Number of recoveries so far.
     pub const fn recovered(&self) -> u32 {
-        self.recovered
+        self.total_recoveries
     }
 
-    /// Answers that were dropped.
+    /// Counts of the replies dropped.
     pub const fn drops(&self) -> &Drops {
         self.ledger.drops()
     }
 }
 
-impl Work {
+impl PendingStep {
     fn prefill(tokens: &[u32]) -> Self {
         let count = u32::try_from(tokens.len()).unwrap_or(u32::MAX);
         Self { stage: 0, position: 0, count, input: Input::Tokens(tokens.to_vec()) }
--- a/mimosashift/src/pipeline/machine/race.rs
+++ b/mimosashift/src/pipeline/machine/race.rs
@@ -1,18 +1,21 @@
-//! Two machines of one request.
+//! Hedging: a second machine that races the first one of the same request.
 
 use smallvec::SmallVec;
 
-use super::{Machine, Phase, Replacement, Use};
+use super::{Machine, Phase, Replacement, UsedEndpoint};
 use crate::pipeline::action::{Actions, Context};
 use crate::resource::Name;
 use crate::time::Instant;
 
 impl Machine {
-    /// Endpoints that a second chain must not use, or `None` when a second
-    /// chain is of no use: the first token is there or a recovery has begun.
-    pub(in crate::pipeline) fn hedge_avoid(&self, now: Instant) -> Option<SmallVec<[Name; 4]>> {
+    /// Endpoints that a second chain must not use, or `None` when no second chain
+    /// is needed: the first token has arrived or a recovery has started.
+    pub(in crate::pipeline) fn hedge_exclusions(
+        &self,
+        now: Instant,
+    ) -> Option<SmallVec<[Name; 4]>> {
         let running = matches!(self.phase, Phase::Running { .. });
-        if !running || self.work.position > 0 || !self.emitted().is_empty() {
+        if !running || self.step.position > 0 || !self.emitted().is_empty() {
             return None;
         }
         let avoided = self.avoid.iter().filter(|(_, until)| *until > now);
@@ -22,36 +25,36 @@
         Some(avoided.chain(used).chain(stages).cloned().collect())
     }
 
-    /// Starts the same request over a second chain that shares no endpoint with
-    /// the first, with attempts from `attempt` on.
+    /// Starts the same request on a second chain that shares no endpoint with
+    /// the first. Its attempts are numbered from `attempt`.
     pub(in crate::pipeline) fn hedge(
         &self,
         ctx: &mut Context<'_>,
-        found: Replacement,
+        replacement: Replacement,
         attempt: u32,
     ) -> Option<(Self, Actions)> {
-        let avoid = self.hedge_avoid(ctx.now)?;
-        let shared = found.chain.stages().iter().any(|stage| avoid.contains(&stage.endpoint));
-        if shared || !self.usable(ctx.now, &found) {
+        let avoid = self.hedge_exclusions(ctx.now)?;
+        let shared = replacement.chain.stages().iter().any(|stage| avoid.contains(&stage.endpoint));
+        if shared || !self.is_usable(ctx.now, &replacement) {
             return None;
         }
-        let Replacement { chain, cost, .. } = found;
+        let Replacement { chain, cost, .. } = replacement;
         let progress = self.progress.clone();
         let mut machine = Self::new(self.request.clone(), chain, cost, progress, attempt, ctx.now);
         let mut actions = Actions::new();
-        machine.begin(ctx, &mut actions);
+        machine.send_first_step(ctx, &mut actions);
         Some((machine, actions))
     }
 
-    /// Goes on alone after `other` was given up: its endpoints were told to
-    /// release its attempts, so they take only later ones.
-    pub(in crate::pipeline) fn outlive(&mut self, other: &Self) {
+    /// Continues alone after `other` was cancelled. The endpoints of `other` were
+    /// told to release its attempts, so they accept only later ones.
+    pub(in crate::pipeline) fn continue_alone(&mut self, other: &Self) {
         self.next_attempt = self.next_attempt.max(other.next_attempt);
         for used in &other.used {
             let known = self.used.iter().any(|own| own.endpoint == used.endpoint);
             if !known {
                 let (endpoint, attempt) = (used.endpoint.clone(), self.attempt);
-                self.used.push(Use { endpoint, attempt, released: true });
+                self.used.push(UsedEndpoint { endpoint, attempt, released: true });
             }
         }
     }
--- a/mimosashift/src/pipeline/machine/recover.rs
+++ b/mimosashift/src/pipeline/machine/recover.rs
@@ -1,10 +1,12 @@
-//! How a request goes on after a failure.
+//! Recovery of a request after a failed step.
 
 use std::time::Duration;
 
 use smallvec::SmallVec;
 
-use super::{AVOID, Certainty, Machine, Next, Phase, Replacement, Use, Work};
+use super::{
+    AVOID_PERIOD, Execution, Machine, PendingStep, Phase, Recovery, Replacement, UsedEndpoint,
+};
 use crate::engine::Failure;
 use crate::pipeline::action::{Action, Actions, Code, Context, Scope};
 use crate::pipeline::recovery::{self, Endpoints, Plan, Point, Transfer};
@@ -13,12 +15,12 @@
 use crate::route::Chain;
 use crate::time::Instant;
 
-/// Times that an overloaded endpoint is asked again before it is replaced.
-const OVERLOAD_RETRIES: u32 = 2;
-/// Longest pause that an overloaded endpoint may ask for and still be waited for.
-const OVERLOAD_WAIT: Duration = Duration::from_millis(100);
-/// Slack of a transfer's timeout.
-const IMPORT_SLACK: Duration = Duration::from_millis(50);
+/// Number of retries at an overloaded endpoint before it is replaced.
+const MAX_OVERLOAD_RETRIES: u32 = 2;
+/// Longest requested pause for which an overloaded endpoint is waited for.
+const MAX_OVERLOAD_PAUSE: Duration = Duration::from_millis(100);
+/// Extra time in the timeout of a transfer.
+const IMPORT_TIMEOUT_MARGIN: Duration = Duration::from_millis(50);
 
 impl Machine {
     pub(super) fn recover(
@@ -29,75 +31,88 @@
         actions: &mut Actions,
     ) {
         if !failure.not_run() {
-            self.certainty = self.certainty.max(Certainty::MayHaveRun);
+            self.execution = self.execution.max(Execution::MayHaveRun);
         }
         let next = self.classify(failure, retry_after, ctx.now);
-        let at_once = self.recoveries == 0 && *failure != Failure::Overloaded;
-        let pause = if at_once {
+        let immediate = self.recoveries_since_token == 0 && *failure != Failure::Overloaded;
+        let pause = if immediate {
             Duration::ZERO
         } else {
-            let asked = if matches!(next, Next::Replace) { None } else { retry_after };
-            retry::backoff(self.recoveries, asked, ctx.rng)
+            let min_pause = if matches!(next, Recovery::Replace) { None } else { retry_after };
+            retry::backoff(self.recoveries_since_token, min_pause, ctx.rng)
         };
-        self.recoveries += 1;
-        self.recovered += 1;
+        self.recoveries_since_token += 1;
+        self.total_recoveries += 1;
         let earliest = ctx.now + pause;
-        if earliest + self.least_recovery(next) >= self.request.deadline {
+        if earliest + self.min_recovery_time(next) >= self.request.deadline {
             return self.fail(Code::OutOfTime, None, actions);
         }
         if let Err(wait) = ctx.budget.take(ctx.now) {
             return self.fail(Code::RetryBudget, Some(wait), actions);
         }
-        if at_once {
+        if immediate {
             return self.proceed(ctx, next, actions);
         }
         self.phase = Phase::Backoff { until: earliest, next };
     }
 
-    /// Least time to the end of the answer after a recovery.
-    fn least_recovery(&self, next: Next) -> Duration {
+    /// Lower bound of the time to finish the completion after a recovery.
+    fn min_recovery_time(&self, next: Recovery) -> Duration {
         let prefill = match next {
-            Next::Rebuild => self.cost.prefill_time(self.prefix()),
-            Next::Resend | Next::Replace => Duration::ZERO,
+            Recovery::Rebuild => self.cost.prefill_time(self.prefix_len()),
+            Recovery::Resend | Recovery::Replace => Duration::ZERO,
         };
-        prefill.saturating_add(self.least_time())
+        prefill.saturating_add(self.min_completion_time())
     }
 
-    /// Decides what follows a failure and notes what it says of the endpoint.
-    fn classify(&mut self, failure: &Failure, retry_after: Option<Duration>, now: Instant) -> Next {
-        let endpoint = self.chain.stages()[self.work.stage].endpoint.clone();
+    /// Decides how to recover from a failure, and records whether to avoid the
+    /// endpoint and whether its KV cache is lost.
+    fn classify(
+        &mut self,
+        failure: &Failure,
+        retry_after: Option<Duration>,
+        now: Instant,
+    ) -> Recovery {
+        let endpoint = self.chain.stages()[self.step.stage].endpoint.clone();
         let retry_after = retry_after.unwrap_or_default();
-        let wait = self.overloads < OVERLOAD_RETRIES && retry_after <= OVERLOAD_WAIT;
+        let wait = self.overloads < MAX_OVERLOAD_RETRIES && retry_after <= MAX_OVERLOAD_PAUSE;
         match failure {
             Failure::Overloaded if wait => {
                 self.overloads += 1;
                 return self.resend();
             }
-            Failure::NoCache | Failure::Refused(_) if self.rebuildable() => return Next::Rebuild,
+            Failure::NoCache | Failure::Refused(_) if self.can_rebuild() => {
+                return Recovery::Rebuild;
+            }
             Failure::Overloaded | Failure::Silent(_) => {}
             Failure::Leaving => {
                 self.avoid_until(endpoint, self.request.deadline);
-                return Next::Replace;
+                return Recovery::Replace;
             }
             Failure::Unreachable(_)
             | Failure::NoCache
             | Failure::Refused(_)
-            | Failure::Malformed(_) => self.gone.push(endpoint.clone()),
+            | Failure::Malformed(_) => self.cache_lost.push(endpoint.clone()),
         }
-        self.avoid_until(endpoint, now + AVOID.max(retry_after));
-        Next::Replace
+        self.avoid_until(endpoint, now + AVOID_PERIOD.max(retry_after));
+        Recovery::Replace
     }
 
-    /// Repeats a refused step. A first step gets a new attempt, so that a
-    /// doubled refusal of one send never counts for the next.
-    const fn resend(&self) -> Next {
-        if self.work.position == 0 && self.work.stage == 0 { Next::Rebuild } else { Next::Resend }
+    /// Resends a refused step. A first step gets a new attempt, so that a
+    /// duplicated refusal of one send is not taken for a refusal of the next.
+    const fn resend(&self) -> Recovery {
+        if self.step.position == 0 && self.step.stage == 0 {
+            Recovery::Rebuild
+        } else {
+            Recovery::Resend
+        }
     }
 
-    /// Whether the stage refused because of its state only: a step that needs
-    /// none, or a second refusal in a row, speaks against the endpoint.
-    const fn rebuildable(&self) -> bool {
-        self.work.position > 0 && self.recoveries == 0
+    /// Whether the refusal is due only to the state of the stage, so that a
+    /// rebuild can help. If the step needs no state, or is refused a second time
+    /// in a row, the endpoint itself is taken to be at fault.
+    const fn can_rebuild(&self) -> bool {
+        self.step.position > 0 && self.recoveries_since_token == 0
     }
 
     fn avoid_until(&mut self, endpoint: Name, until: Instant) {
@@ -107,12 +122,12 @@
         }
     }
 
-    pub(super) fn proceed(&mut self, ctx: &mut Context<'_>, next: Next, actions: &mut Actions) {
+    pub(super) fn proceed(&mut self, ctx: &mut Context<'_>, next: Recovery, actions: &mut Actions) {
         match next {
-            Next::Resend => self.send(ctx, actions),
-            Next::Rebuild => self.rebuild(ctx, actions),
-            Next::Replace => {
-                let lost = self.chain.stages()[self.work.stage].layers;
+            Recovery::Resend => self.send(ctx, actions),
+            Recovery::Rebuild => self.rebuild(ctx, actions),
+            Recovery::Replace => {
+                let lost = self.chain.stages()[self.step.stage].layers;
                 self.choose(ctx.now, lost, ctx.now, 0, actions);
             }
         }
@@ -123,75 +138,76 @@
         now: Instant,
         lost: Layers,
         since: Instant,
-        asked: u32,
+        searches: u32,
         actions: &mut Actions,
     ) {
         self.avoid.retain(|(_, until)| *until > now);
         let avoid = self.avoid.iter().map(|(name, _)| name.clone()).collect();
-        let fresh = self.work.position == 0 && self.work.stage == 0;
-        let scope = if fresh { Scope::Whole } else { Scope::Range(lost) };
-        self.phase = Phase::Choosing { lost, since, again: None, asked };
+        let no_state = self.step.position == 0 && self.step.stage == 0;
+        let scope = if no_state { Scope::Whole } else { Scope::Range(lost) };
+        self.phase = Phase::Choosing { lost, since, retry_at: None, searches };
         actions.push(Action::NeedChain { avoid, scope });
     }
 
-    /// Whether a replacement runs the same version over all layers without an
-    /// endpoint to be avoided.
-    pub(super) fn usable(&self, now: Instant, found: &Replacement) -> bool {
+    /// Whether a replacement runs the same version over all layers and uses no
+    /// avoided endpoint.
+    pub(super) fn is_usable(&self, now: Instant, replacement: &Replacement) -> bool {
         let end = |chain: &Chain| chain.stages().last().map(|stage| stage.layers.end());
         let avoided =
             |name: &Name| self.avoid.iter().any(|(avoid, until)| avoid == name && *until > now);
-        found.chain.pipeline() == self.chain.pipeline()
-            && found.chain.version() == self.chain.version()
-            && end(&found.chain) == end(&self.chain)
-            && !found.chain.stages().iter().any(|stage| avoided(&stage.endpoint))
+        replacement.chain.pipeline() == self.chain.pipeline()
+            && replacement.chain.version() == self.chain.version()
+            && end(&replacement.chain) == end(&self.chain)
+            && !replacement.chain.stages().iter().any(|stage| avoided(&stage.endpoint))
     }
 
     pub(super) fn replace(
         &mut self,
         ctx: &mut Context<'_>,
-        found: Replacement,
+        replacement: Replacement,
         actions: &mut Actions,
     ) {
-        let plan = self.plan(&found);
-        let prefix = self.prefix();
-        self.cost = found.cost;
+        let plan = self.plan(&replacement);
+        let prefix_len = self.prefix_len();
+        self.cost = replacement.cost;
         let expected = match &plan {
             Plan::Resume(transfers) => self.cost.import_time(transfers),
-            Plan::Rebuild => self.cost.prefill_time(prefix),
+            Plan::Rebuild => self.cost.prefill_time(prefix_len),
         };
-        if ctx.now + expected + self.least_time() > self.request.deadline {
+        if ctx.now + expected + self.min_completion_time() > self.request.deadline {
             return self.fail(Code::OutOfTime, None, actions);
         }
         self.overloads = 0;
-        let layer = self.chain.stages()[self.work.stage].layers.start();
-        self.progress.rebase(&found.chain);
-        self.chain = found.chain;
+        let layer = self.chain.stages()[self.step.stage].layers.start();
+        self.progress.rebase(&replacement.chain);
+        self.chain = replacement.chain;
         match plan {
             Plan::Rebuild => self.rebuild(ctx, actions),
             Plan::Resume(transfers) => {
                 let stages = self.chain.stages();
                 let stage = stages.iter().position(|stage| stage.layers.start() == layer);
-                self.work.stage = stage.expect("a plan to resume starts a stage at the layer");
+                self.step.stage = stage.expect("a plan to resume starts a stage at the layer");
                 self.resume(ctx, transfers, actions);
             }
         }
     }
 
-    fn plan(&self, found: &Replacement) -> Plan {
+    fn plan(&self, replacement: &Replacement) -> Plan {
         let at = Point {
-            layer: self.chain.stages()[self.work.stage].layers.start(),
-            position: self.work.position,
-            count: self.work.count,
+            layer: self.chain.stages()[self.step.stage].layers.start(),
+            position: self.step.position,
+            count: self.step.count,
         };
-        let readable = |name: &&Name| !self.gone.contains(*name);
-        let holders: SmallVec<[Name; 4]> = found.holders.iter().filter(readable).cloned().collect();
+        let readable = |name: &&Name| !self.cache_lost.contains(*name);
+        let holders: SmallVec<[Name; 4]> =
+            replacement.holders.iter().filter(readable).cloned().collect();
         let current = self.used.iter().filter(|used| used.attempt == self.attempt);
         let used: SmallVec<[Name; 8]> = current.map(|used| used.endpoint.clone()).collect();
         let endpoints = Endpoints { holders: &holders, used: &used };
-        recovery::plan(&self.chain, &found.chain, at, endpoints, &found.cost)
+        recovery::plan(&self.chain, &replacement.chain, at, endpoints, &replacement.cost)
     }
 
-    /// Starts the next copy, or repeats the interrupted step after the last.
+    /// Starts the next transfer, or resends the interrupted step after the last.
     pub(super) fn resume(
         &mut self,
         ctx: &mut Context<'_>,
@@ -199,12 +215,13 @@
         actions: &mut Actions,
     ) {
         let Some(Transfer { from, to, layers, tokens }) = transfers.first().cloned() else {
-            self.release_left(actions);
+            self.release_unused(actions);
             return self.send(ctx, actions);
         };
         let expected = self.cost.transfer_time(&transfers[0]);
-        let rebuild = self.cost.prefill_time(self.prefix());
-        let timeout = expected.saturating_mul(2).max(rebuild).saturating_add(IMPORT_SLACK);
+        let rebuild_time = self.cost.prefill_time(self.prefix_len());
+        let timeout =
+            expected.saturating_mul(2).max(rebuild_time).saturating_add(IMPORT_TIMEOUT_MARGIN);
         let timeout = timeout.min(self.request.deadline.since(ctx.now));
         let label = self.label(layers, 0, tokens);
         self.mark_used(&to);
@@ -215,19 +232,20 @@
 
     /// Runs the whole prefix through the chain as a new attempt.
     pub(super) fn rebuild(&mut self, ctx: &mut Context<'_>, actions: &mut Actions) {
-        self.release_left(actions);
+        self.release_unused(actions);
         self.attempt = self.next_attempt;
         self.next_attempt += 1;
-        self.gone.clear();
-        self.work = Work::prefill(&self.tokens);
+        self.cache_lost.clear();
+        self.step = PendingStep::prefill(&self.tokens);
         self.send(ctx, actions);
     }
 
     /// Releases endpoints that are no longer part of the chain.
-    fn release_left(&mut self, actions: &mut Actions) {
+    fn release_unused(&mut self, actions: &mut Actions) {
         let stages = self.chain.stages();
-        let left = |used: &&mut Use| !stages.iter().any(|stage| stage.endpoint == used.endpoint);
-        for used in self.used.iter_mut().filter(left) {
+        let unused =
+            |used: &&mut UsedEndpoint| !stages.iter().any(|stage| stage.endpoint == used.endpoint);
+        for used in self.used.iter_mut().filter(unused) {
             actions.extend(used.release(self.request.id));
         }
     }
--- a/mimosashift/src/pipeline/machine/step.rs
+++ b/mimosashift/src/pipeline/machine/step.rs
@@ -1,19 +1,19 @@
-//! How the steps of a request follow each other.
+//! Sequence of the steps of a request.
 
 use std::time::Duration;
 
-use super::{Certainty, Machine, Phase, Use, Work};
+use super::{Execution, Machine, PendingStep, Phase, UsedEndpoint};
 use crate::engine::{Label, Step};
 use crate::pipeline::action::{Action, Actions, Code, Context, Outcome};
 use crate::resource::{Layers, Name};
 
 impl Machine {
-    pub(super) fn begin(&mut self, ctx: &mut Context<'_>, actions: &mut Actions) {
+    pub(super) fn send_first_step(&mut self, ctx: &mut Context<'_>, actions: &mut Actions) {
         if self.request.prompt.is_empty() {
-            return self.fail_first(Code::EmptyPrompt, actions);
+            return self.fail_before_send(Code::EmptyPrompt, actions);
         }
-        if ctx.now + self.cost.prefill_time(self.prefix()) > self.request.deadline {
-            return self.fail_first(Code::OutOfTime, actions);
+        if ctx.now + self.cost.prefill_time(self.prefix_len()) > self.request.deadline {
+            return self.fail_before_send(Code::OutOfTime, actions);
         }
         if self.request.max_tokens == 0 {
             actions.push(Action::Finish(Outcome::Complete));
@@ -23,8 +23,8 @@
     }
 
     pub(super) fn send(&mut self, ctx: &mut Context<'_>, actions: &mut Actions) {
-        let stage = self.chain.stages()[self.work.stage].clone();
-        let label = self.label(stage.layers, self.work.position, self.work.count);
+        let stage = self.chain.stages()[self.step.stage].clone();
+        let label = self.label(stage.layers, self.step.position, self.step.count);
         let timeout = self.step_timeout().min(self.request.deadline.since(ctx.now));
         self.mark_used(&stage.endpoint);
         self.ledger.expect(stage.endpoint.clone(), label.clone());
@@ -33,17 +33,17 @@
             label,
             priority: self.request.priority,
             adapter: self.request.adapter.clone(),
-            input: self.work.input.clone(),
+            input: self.step.input.clone(),
         };
         actions.push(Action::Send { endpoint: stage.endpoint, step, timeout });
     }
 
     pub(super) fn on_token(&mut self, ctx: &mut Context<'_>, token: u32, actions: &mut Actions) {
-        self.certainty = Certainty::Ran;
-        if self.recoveries == 0 && self.work.position > 0 {
-            self.progress.observe_token(ctx.now.since(self.token_began));
+        self.execution = Execution::Ran;
+        if self.recoveries_since_token == 0 && self.step.position > 0 {
+            self.progress.observe_token(ctx.now.since(self.token_started));
         }
-        self.recoveries = 0;
+        self.recoveries_since_token = 0;
         self.overloads = 0;
         if self.request.stop == Some(token) {
             return self.finish(Outcome::Complete, actions);
@@ -53,28 +53,28 @@
         if self.remaining() == 0 {
             return self.finish(Outcome::Complete, actions);
         }
-        if ctx.now + self.least_time() > self.request.deadline {
+        if ctx.now + self.min_completion_time() > self.request.deadline {
             return self.fail(Code::OutOfTime, None, actions);
         }
-        self.token_began = ctx.now;
-        self.work = Work::decode(self.prefix() - 1, token);
+        self.token_started = ctx.now;
+        self.step = PendingStep::decode(self.prefix_len() - 1, token);
         self.send(ctx, actions);
     }
 
     fn step_timeout(&self) -> Duration {
-        if self.work.count == 1 {
-            return self.progress.decode_timeout(self.work.stage, self.recoveries);
+        if self.step.count == 1 {
+            return self.progress.decode_timeout(self.step.stage, self.recoveries_since_token);
         }
-        let expected = self.prefill_share();
-        self.progress.prefill_timeout(expected, self.recoveries)
+        let expected = self.stage_prefill_time();
+        self.progress.prefill_timeout(expected, self.recoveries_since_token)
     }
 
-    /// Expected time of the stage in a prefill, by its share of the layers.
-    fn prefill_share(&self) -> Duration {
+    /// Expected prefill time of the current stage, by its share of the layers.
+    fn stage_prefill_time(&self) -> Duration {
         let stages = self.chain.stages();
-        let held = u32::from(stages[self.work.stage].layers.count());
+        let held = u32::from(stages[self.step.stage].layers.count());
         let all: u32 = stages.iter().map(|stage| u32::from(stage.layers.count())).sum();
-        self.cost.prefill_time(self.work.count).saturating_mul(held) / all
+        self.cost.prefill_time(self.step.count).saturating_mul(held) / all
     }
 
     pub(super) fn label(&self, layers: Layers, position: u32, count: u32) -> Label {
@@ -89,19 +89,20 @@
         }
     }
 
-    /// Number of tokens in prompt and answer so far.
-    pub(super) fn prefix(&self) -> u32 {
+    /// Number of tokens in the prompt and the completion so far.
+    pub(super) fn prefix_len(&self) -> u32 {
         u32::try_from(self.tokens.len()).unwrap_or(u32::MAX)
     }
 
-    /// Most tokens still to come.
+    /// Maximum number of tokens still to generate.
     fn remaining(&self) -> u32 {
         let emitted = u32::try_from(self.emitted().len()).unwrap_or(u32::MAX);
         self.request.max_tokens.saturating_sub(emitted)
     }
 
-    /// Least time to the end of the answer at the best pace seen.
-    pub(super) fn least_time(&self) -> Duration {
+    /// Lower bound of the time to finish the completion, from the shortest
+    /// observed token time.
+    pub(super) fn min_completion_time(&self) -> Duration {
         let tokens = if self.request.stop.is_some() { 1 } else { self.remaining() };
         self.progress.least(tokens)
     }
@@ -109,6 +110,6 @@
     pub(super) fn mark_used(&mut self, endpoint: &Name) {
         self.used.retain(|used| used.endpoint != *endpoint);
         let (endpoint, attempt) = (endpoint.clone(), self.attempt);
-        self.used.push(Use { endpoint, attempt, released: false });
+        self.used.push(UsedEndpoint { endpoint, attempt, released: false });
     }
 }
--- a/mimosashift/src/pipeline/mod.rs
+++ b/mimosashift/src/pipeline/mod.rs
@@ -1,8 +1,8 @@
-//! The token stream of one request: stages, step ledger, recovery.
+//! Token generation for one request: stage steps, reply checks and recovery.
 //!
 //! A [`Machine`] drives the stages of a chain step by step and moves layers to
-//! another endpoint when a stage is lost. `docs/design/pipeline.md` gives the
-//! reasons and what must hold.
+//! another endpoint when a stage fails. The design and its invariants are
+//! described in `docs/design/pipeline.md`.
 
 mod action;
 mod hedge;
--- a/mimosashift/src/pipeline/progress.rs
+++ b/mimosashift/src/pipeline/progress.rs
@@ -1,4 +1,4 @@
-//! How long a step may take before its stage counts as lost.
+//! Step timeouts, derived from observed step times.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
 
 /// Weight of the newest step time in the moving average.
 const EWMA_WEIGHT: f64 = 0.2;
-/// Most doublings of a timeout.
+/// Maximum number of times that a timeout is doubled.
 const MAX_DOUBLINGS: u32 = 6;
 
 /// Bounds of a step's timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Shortest timeout.
+    /// Minimum timeout.
     pub floor: Duration,
-    /// Longest timeout of a step of one token.
+    /// Maximum timeout of a step of one token.
     pub ceiling: Duration,
-    /// Timeout of a step of one token at a stage with no observed step.
+    /// Timeout of a step of one token at a stage without an observed step.
     pub initial: Duration,
-    /// Timeout as a multiple of the expected time.
+    /// Ratio of the timeout to the expected time.
     pub factor: u32,
 }
 
@@ -29,43 +29,44 @@
 pub struct Progress {
     limits: Limits,
     stages: SmallVec<[(Stage, Option<Duration>); 8]>,
-    best_token: Option<Duration>,
+    min_token_time: Option<Duration>,
 }
 
 impl Progress {
-    /// Nothing observed yet.
+    /// Creates an instance without observations.
     pub const fn new(limits: Limits) -> Self {
-        Self { limits, stages: SmallVec::new_const(), best_token: None }
+        Self { limits, stages: SmallVec::new_const(), min_token_time: None }
     }
 
-    /// Changes the chain and keeps what is known of the stages that stay.
+    /// Changes the chain and keeps the observations of unchanged stages.
     pub fn rebase(&mut self, chain: &Chain) {
-        let known = |stage: &Stage| self.stages.iter().find(|(s, _)| s == stage)?.1;
-        let stages = chain.stages().iter().map(|stage| (stage.clone(), known(stage))).collect();
+        let observed = |stage: &Stage| self.stages.iter().find(|(s, _)| s == stage)?.1;
+        let stages = chain.stages().iter().map(|stage| (stage.clone(), observed(stage))).collect();
         self.stages = stages;
     }
 
     /// Records how long a step of one token took at a stage.
-    pub fn observe(&mut self, stage: usize, took: Duration) {
+    pub fn observe(&mut self, stage: usize, elapsed: Duration) {
         let average = &mut self.stages[stage].1;
         *average = Some(match *average {
-            Some(old) => old.mul_f64(1.0 - EWMA_WEIGHT) + took.mul_f64(EWMA_WEIGHT),
-            None => took,
+            Some(previous) => previous.mul_f64(1.0 - EWMA_WEIGHT) + elapsed.mul_f64(EWMA_WEIGHT),
+            None => elapsed,
         });
     }
 
-    /// Records how long one token took through all stages.
-    pub fn observe_token(&mut self, took: Duration) {
-        self.best_token = Some(self.best_token.map_or(took, |best| best.min(took)));
+    /// Records how long one token took to pass through all stages.
+    pub fn observe_token(&mut self, elapsed: Duration) {
+        self.min_token_time =
+            Some(self.min_token_time.map_or(elapsed, |shortest| shortest.min(elapsed)));
     }
 
-    /// Least time that `tokens` more tokens can take.
+    /// Lower bound of the time for `tokens` more tokens.
     pub fn least(&self, tokens: u32) -> Duration {
-        self.best_token.unwrap_or_default().saturating_mul(tokens)
+        self.min_token_time.unwrap_or_default().saturating_mul(tokens)
     }
 
-    /// Timeout of a step of one token, doubled for each fruitless recovery so
-    /// that a slow system is not taken for a lost stage for ever.
+    /// Timeout of a step of one token. It doubles with each recovery that yields
+    /// no token, so that a slow system is not mistaken for a failed stage forever.
     pub fn decode_timeout(&self, stage: usize, recoveries: u32) -> Duration {
         let Limits { floor, ceiling, initial, factor } = self.limits;
         let average = self.stages[stage].1;
@@ -73,7 +74,7 @@
         Self::doubled(timeout, recoveries)
     }
 
-    /// Timeout of a step of many tokens that is expected to take `expected`.
+    /// Timeout of a step of several tokens whose expected time is `expected`.
     pub fn prefill_timeout(&self, expected: Duration, recoveries: u32) -> Duration {
         let timeout = expected.saturating_mul(self.limits.factor).max(self.limits.initial);
         Self::doubled(timeout, recoveries)
--- a/mimosashift/src/pipeline/recovery.rs
+++ b/mimosashift/src/pipeline/recovery.rs
@@ -1,4 +1,5 @@
-//! How the state of a lost stage is had again: copied or computed anew.
+//! Recovery of the state of a lost stage: by copying its KV cache or by
+//! recomputing it.
 
 use std::time::Duration;
 
@@ -8,23 +9,23 @@
 use crate::resource::{Engine, Layers, Name, Pipeline};
 use crate::route::{Chain, Stage};
 
-/// What the ways of recovery cost on a chain.
+/// Cost of copying and of recomputing state on a chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cost {
-    /// Bytes of KV cache that one layer keeps for one token.
+    /// Bytes of KV cache that one layer stores for one token.
     pub kv_bytes: u32,
     /// Bandwidth between the holder of a cache and its new endpoint.
     pub link_bytes_per_second: u64,
     /// Fixed time of one transfer.
     pub link_latency: Duration,
-    /// Time to run a prompt through the whole chain, whatever its length.
+    /// Time to run a prompt through the whole chain, regardless of its length.
     pub prefill_base: Duration,
-    /// Time that each token of a prompt adds.
+    /// Additional time for each token of a prompt.
     pub prefill_token: Duration,
 }
 
 impl Cost {
-    /// Cost on a chain of `stages` of `pipeline`, from declared speeds.
+    /// Cost on a chain of `stages` of `pipeline`, from the declared speeds.
     pub fn new<'a>(
         pipeline: &Pipeline,
         stages: impl IntoIterator<Item = (&'a Engine, Layers)>,
@@ -51,7 +52,7 @@
         cost
     }
 
-    /// Expected time to copy the caches one after the other.
+    /// Expected time to copy the caches sequentially.
     pub fn import_time(&self, transfers: &[Transfer]) -> Duration {
         let times = transfers.iter().map(|transfer| self.transfer_time(transfer));
         times.fold(Duration::ZERO, Duration::saturating_add)
@@ -72,12 +73,12 @@
     }
 }
 
-/// KV cache to be copied to the new endpoint of a layer range.
+/// Copy of a KV cache to the new endpoint of a layer range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transfer {
-    /// Endpoint that holds it.
+    /// Endpoint that holds the cache.
     pub from: Name,
-    /// Endpoint that takes the layers over.
+    /// Endpoint that takes over the layers.
     pub to: Name,
     /// The layers.
     pub layers: Layers,
@@ -92,45 +93,45 @@
     pub layer: u16,
     /// Position of the step.
     pub position: u32,
-    /// Its number of tokens.
+    /// Number of tokens of the step.
     pub count: u32,
 }
 
 impl Point {
-    /// Tokens of which `stage` must hold the cache for the step to go on.
+    /// Number of tokens whose cache `stage` must hold for the step to resume.
     fn cached(self, stage: &Stage) -> u32 {
         if stage.layers.end() <= self.layer { self.position + self.count } else { self.position }
     }
 }
 
-/// How a request goes on over a new chain.
+/// How a request continues on a new chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// Copy these caches, then repeat the interrupted step.
+    /// Copy these caches, then resend the interrupted step.
     Resume(SmallVec<[Transfer; 2]>),
-    /// Run prompt and accepted tokens through the whole chain.
+    /// Run the prompt and the accepted tokens through the whole chain.
     Rebuild,
 }
 
-/// Whether an endpoint may serve a part in a recovery.
+/// Endpoints that a recovery may copy from, and those that it may not copy to.
 #[derive(Clone, Copy)]
 pub struct Endpoints<'a> {
     /// Endpoints whose cache can be read.
     pub holders: &'a [Name],
-    /// Endpoints that were used in the current attempt and so may hold state
-    /// of it that no longer fits.
+    /// Endpoints that were used in the current attempt, and so may hold stale
+    /// state of it.
     pub used: &'a [Name],
 }
 
-/// Chooses the cheaper way from `old` to `new`.
+/// Chooses the cheaper way to continue on `new` after `old`.
 pub fn plan(old: &Chain, new: &Chain, at: Point, endpoints: Endpoints<'_>, cost: &Cost) -> Plan {
     let Some(transfers) = transfers(old, new, at, endpoints) else { return Plan::Rebuild };
     let rebuild = cost.prefill_time(at.position + at.count);
     if cost.import_time(&transfers) > rebuild { Plan::Rebuild } else { Plan::Resume(transfers) }
 }
 
-/// The copies that bring every stage of `new` to the interrupted step, or
-/// `None` when copies cannot.
+/// The copies after which every stage of `new` can resume the interrupted step,
+/// or `None` if copying is not possible.
 fn transfers(
     old: &Chain,
     new: &Chain,
--- a/mimosashift/src/pipeline/retry.rs
+++ b/mimosashift/src/pipeline/retry.rs
@@ -8,37 +8,38 @@
 
 use crate::time::Instant;
 
-/// Bound of the first backoff.
+/// Upper bound of the first backoff.
 const BACKOFF_BASE: Duration = Duration::from_millis(20);
-/// Bound of every backoff.
+/// Upper bound of every backoff.
 const BACKOFF_CAP: Duration = Duration::from_secs(1);
 
-/// Time slots by which a [`Window`] counts: small against a window of seconds.
+/// Length of the time slots in which a [`Window`] counts: small compared to a
+/// window of seconds.
 const SLOT_MICROS: u64 = 250_000;
 
-/// Time by which a [`Window`] counts retries for longer and requests for
-/// shorter than its length: two slots.
-const MARGIN: Duration = Duration::from_millis(500);
+/// A [`Window`] counts retries over its length plus this margin, and requests
+/// over its length minus this margin: two slots.
+const COUNT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Share of the extra retries that a new start may use in its first window, so
-/// that an earlier start of the same router and it keep the bound together.
-const FIRST_SHARE: f64 = 1.0 / 3.0;
+/// Share of the extra retries that a restarted router may use in its first
+/// window, so that it and its previous process together keep the bound.
+const FIRST_WINDOW_SHARE: f64 = 1.0 / 3.0;
 
-/// Share of the extra retries in later windows.
-const LATER_SHARE: f64 = 1.0 - FIRST_SHARE;
+/// Share of the extra retries that may be used in later windows.
+const LATER_WINDOW_SHARE: f64 = 1.0 - FIRST_WINDOW_SHARE;
 
 /// Settings of a [`Budget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
     /// Retries allowed for each request, for example 0.2.
     pub per_request: f64,
-    /// Retries allowed each second whatever the traffic.
+    /// Retries allowed each second regardless of traffic.
     pub per_second: f64,
-    /// Most retries that can be saved up.
+    /// Maximum number of retries that can accumulate.
     pub burst: f64,
 }
 
-/// A token bucket that keeps retries a fixed share of live traffic.
+/// A token bucket that limits retries to a fixed share of the traffic.
 ///
 /// Without it, the loss of a large part of the endpoints would multiply the
 /// load on the rest. See `docs/design/pipeline.md`.
@@ -50,7 +51,7 @@
 }
 
 impl Budget {
-    /// A full budget.
+    /// Creates a full budget.
     pub const fn new(share: Share, now: Instant) -> Self {
         Self { share, tokens: share.burst, refilled: now }
     }
@@ -61,7 +62,8 @@
         self.add(self.share.per_request);
     }
 
-    /// Takes one retry, or says when the next one will be there at the latest.
+    /// Takes one retry, or returns the longest time until the next one is
+    /// available.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
         self.refill(now);
         if self.tokens >= 1.0 {
@@ -84,33 +86,33 @@
     }
 }
 
-/// What a [`Window`] allows.
+/// Limits of a [`Window`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
     /// Length of the window.
     pub length: Duration,
-    /// Retries for each request within it.
+    /// Retries allowed for each request within it.
     pub per_request: f64,
-    /// Further retries within it.
+    /// Additional retries allowed within it.
     pub extra: f64,
 }
 
-/// Keeps retries under a share of the requests in any window of time.
+/// Limits retries to a share of the requests in any window of time.
 ///
-/// Unlike a [`Budget`] it lets all that a window allows go at once, which is
-/// when the loss of an endpoint needs it.
+/// Unlike a [`Budget`], it permits all retries of a window at once, as is needed
+/// when an endpoint is lost.
 #[derive(Clone, Debug)]
 pub struct Window {
     started: Instant,
-    requests: Tally,
-    retries: Tally,
+    requests: SlotCounts,
+    retries: SlotCounts,
 }
 
-/// Events by the time slot in which they fell, the oldest first.
+/// Number of events by time slot, oldest first.
 #[derive(Clone, Debug, Default)]
-struct Tally(VecDeque<(u64, u32)>);
+struct SlotCounts(VecDeque<(u64, u32)>);
 
-impl Tally {
+impl SlotCounts {
     fn add(&mut self, now: Instant) {
         let slot = now.as_micros() / SLOT_MICROS;
         match self.0.back_mut() {
@@ -125,23 +127,23 @@
         self.0.iter().filter(|(slot, _)| *slot > from).map(|(_, count)| f64::from(*count)).sum()
     }
 
-    fn forget(&mut self, span: Duration, now: Instant) {
-        let from = (now - span).as_micros() / SLOT_MICROS;
-        while self.0.front().is_some_and(|(slot, _)| *slot < from) {
+    fn evict(&mut self, span: Duration, now: Instant) {
+        let oldest = (now - span).as_micros() / SLOT_MICROS;
+        while self.0.front().is_some_and(|(slot, _)| *slot < oldest) {
             self.0.pop_front();
         }
     }
 }
 
 impl Window {
-    /// An empty window of a process that starts now. Until it has passed once,
-    /// only a part of the extra retries is given: an earlier start may have
-    /// spent the rest.
+    /// Creates an empty window of a process that starts now. Until its length has
+    /// passed, only a part of the extra retries is available: the previous
+    /// process of this router may have used the rest.
     pub fn new(now: Instant) -> Self {
-        Self { started: now, requests: Tally::default(), retries: Tally::default() }
+        Self { started: now, requests: SlotCounts::default(), retries: SlotCounts::default() }
     }
 
-    /// Notes a new request.
+    /// Counts a new request.
     pub fn on_request(&mut self, now: Instant) {
         self.requests.add(now);
     }
@@ -149,18 +151,18 @@
     /// Takes one retry, if the window allows one.
     pub fn take(&mut self, bound: &Bound, now: Instant) -> bool {
         let Bound { length, per_request, extra } = *bound;
-        self.requests.forget(length, now);
-        self.retries.forget(length + 2 * MARGIN, now);
-        let is_new = now.since(self.started) < length + MARGIN;
-        let extra = extra * if is_new { FIRST_SHARE } else { LATER_SHARE };
-        // A retry arrives later than it is counted here.
-        let requests = self.requests.within(length.saturating_sub(MARGIN), now);
+        self.requests.evict(length, now);
+        self.retries.evict(length + 2 * COUNT_MARGIN, now);
+        let is_new = now.since(self.started) < length + COUNT_MARGIN;
+        let extra = extra * if is_new { FIRST_WINDOW_SHARE } else { LATER_WINDOW_SHARE };
+        // A retry reaches the endpoint later than it is counted here.
+        let requests = self.requests.within(length.saturating_sub(COUNT_MARGIN), now);
         let allowed = per_request * requests + extra;
-        let taken = self.retries.within(length + MARGIN, now) + 1.0 <= allowed;
-        if taken {
+        let is_allowed = self.retries.within(length + COUNT_MARGIN, now) + 1.0 <= allowed;
+        if is_allowed {
             self.retries.add(now);
         }
-        taken
+        is_allowed
     }
 }
 
@@ -170,8 +172,8 @@
     }
 }
 
-/// Time to wait before retry number `retry`, from 0: full jitter under an
-/// exponential bound, after the time that the endpoint asked for.
+/// Time to wait before retry number `retry`, counted from 0: the pause that the
+/// endpoint requested, plus full jitter under an exponential bound.
 pub fn backoff(retry: u32, retry_after: Option<Duration>, rng: &mut Pcg64Mcg) -> Duration {
     let bound = BACKOFF_BASE.saturating_mul(1 << retry.min(16)).min(BACKOFF_CAP);
     let jitter = bound.mul_f64(rng.random_range(0.0..1.0));
--- a/mimosashift/src/posting/machine.rs
+++ b/mimosashift/src/posting/machine.rs
@@ -145,7 +145,7 @@
 
     /// Cancels the attempt if it has not been sent, and tells the caller so.
     ///
-    /// A claim that may have been written is still resolved and released.
+    /// A claim whose write may have taken effect is still released.
     pub fn cancel(&mut self) -> Actions {
         let Phase::Claiming { cancelled, .. } = &mut self.phase else {
             return Actions::new();
