--- a/mimosashift/src/pipeline/hedge.rs
+++ b/mimosashift/src/pipeline/hedge.rs
@@ -5,11 +5,11 @@
 use smallvec::SmallVec;
 
 use super::action::{Action, Actions, Context, Effect, Outcome, Request};
-use super::ledger::{Drops, Reason};
 use super::machine::{Machine, Replacement};
-use super::progress::Limits;
 use super::recovery::Cost;
+use super::reply_filter::{DropCounts, DropReason};
 use super::retry::Budget;
+use super::step_times::Limits;
 use crate::engine::{Failure, Label, Reply};
 use crate::resource::Name;
 use crate::route::Chain;
@@ -24,7 +24,7 @@
 /// continues alone; a chain that would need recovery before that is cancelled in
 /// favour of the other. Inputs are those of [`Machine`].
 #[derive(Debug)]
-pub struct Hedge {
+pub struct HedgedRequest {
     /// Machine of the first chain, then that of the second.
     machines: SmallVec<[Machine; 1]>,
     state: State,
@@ -40,7 +40,7 @@
     Closed,
 }
 
-impl Hedge {
+impl HedgedRequest {
     /// Starts a request like [`Machine::start`]; `delay` is the time to wait
     /// for the first token before a second chain is requested, or `None` to never
     /// hedge.
@@ -177,16 +177,16 @@
     }
 
     /// Number of replies dropped for `reason`.
-    pub fn dropped(&self, reason: Reason) -> u32 {
+    pub fn dropped(&self, reason: DropReason) -> u32 {
         self.drops().map(|drops| drops.count(reason)).sum()
     }
 
     /// Number of replies dropped for any reason.
     pub fn total_dropped(&self) -> u32 {
-        self.drops().map(Drops::total).sum()
+        self.drops().map(DropCounts::total).sum()
     }
 
-    fn drops(&self) -> impl Iterator<Item = &Drops> {
+    fn drops(&self) -> impl Iterator<Item = &DropCounts> {
         self.machines.iter().map(Machine::drops)
     }
 
--- a/mimosashift/src/pipeline/machine/finish.rs
+++ b/mimosashift/src/pipeline/machine/finish.rs
@@ -42,10 +42,10 @@
             return;
         }
         self.phase = Phase::Done;
-        if self.ledger.is_waiting() {
+        if self.reply_filter.is_waiting() {
             self.execution = self.execution.max(Execution::MayHaveRun);
         }
-        self.ledger.clear();
+        self.reply_filter.clear();
         actions.push(Action::Finish(outcome));
         for used in &mut self.used {
             actions.extend(used.release(self.request.id));
@@ -57,7 +57,7 @@
         match self.execution {
             Execution::Ran => Effect::Failed,
             Execution::MayHaveRun => Effect::Unknown,
-            Execution::NothingRan if self.ledger.is_waiting() => Effect::Unknown,
+            Execution::NothingRan if self.reply_filter.is_waiting() => Effect::Unknown,
             Execution::NothingRan => Effect::NotRun,
         }
     }
--- a/mimosashift/src/pipeline/machine/race.rs
+++ b/mimosashift/src/pipeline/machine/hedge.rs
@@ -39,8 +39,9 @@
             return None;
         }
         let Replacement { chain, cost, .. } = replacement;
-        let progress = self.progress.clone();
-        let mut machine = Self::new(self.request.clone(), chain, cost, progress, attempt, ctx.now);
+        let step_times = self.step_times.clone();
+        let mut machine =
+            Self::new(self.request.clone(), chain, cost, step_times, attempt, ctx.now);
         let mut actions = Actions::new();
         machine.send_first_step(ctx, &mut actions);
         Some((machine, actions))
--- a/mimosashift/src/pipeline/machine/mod.rs
+++ b/mimosashift/src/pipeline/machine/mod.rs
@@ -5,17 +5,17 @@
 use smallvec::SmallVec;
 
 use super::action::{Actions, Code, Context, Outcome, Request};
-use super::ledger::{Drops, Ledger};
-use super::progress::{Limits, Progress};
 use super::recovery::{Cost, Transfer};
+use super::reply_filter::{DropCounts, ReplyFilter};
 use super::retry;
+use super::step_times::{Limits, StepTimes};
 use crate::engine::{Failure, Input, Label, Output, Reply};
 use crate::resource::{Layers, Name};
 use crate::route::Chain;
 use crate::time::Instant;
 
 mod finish;
-mod race;
+mod hedge;
 mod recover;
 mod step;
 
@@ -54,8 +54,8 @@
     tokens: Vec<u32>,
     step: PendingStep,
     phase: Phase,
-    ledger: Ledger,
-    progress: Progress,
+    reply_filter: ReplyFilter,
+    step_times: StepTimes,
     avoid: SmallVec<[(Name, Instant); 4]>,
     /// Endpoints whose KV cache is lost or unreliable.
     cache_lost: SmallVec<[Name; 4]>,
@@ -92,7 +92,7 @@
     /// A step is in flight.
     Running { sent: Instant, until: Instant },
     /// Waiting before the next retry.
-    Backoff { until: Instant, next: Recovery },
+    Backoff { until: Instant, recovery: Recovery },
     /// A chain was requested; `retry_at` is the time of the next request if the last
     /// one found none.
     Choosing { lost: Layers, since: Instant, retry_at: Option<Instant>, searches: u32 },
@@ -130,7 +130,7 @@
         cost: Cost,
         limits: Limits,
     ) -> (Self, Actions) {
-        let mut machine = Self::new(request, chain, cost, Progress::new(limits), 1, ctx.now);
+        let mut machine = Self::new(request, chain, cost, StepTimes::new(limits), 1, ctx.now);
         let mut actions = Actions::new();
         ctx.budget.on_request(ctx.now);
         machine.send_first_step(ctx, &mut actions);
@@ -141,13 +141,13 @@
         request: Request,
         chain: Chain,
         cost: Cost,
-        mut progress: Progress,
+        mut step_times: StepTimes,
         attempt: u32,
         now: Instant,
     ) -> Self {
         let tokens = request.prompt.clone();
         let step = PendingStep::prefill(&tokens);
-        progress.rebase(&chain);
+        step_times.set_chain(&chain);
         Self {
             request,
             chain,
@@ -157,8 +157,8 @@
             tokens,
             step,
             phase: Phase::Done,
-            ledger: Ledger::default(),
-            progress,
+            reply_filter: ReplyFilter::default(),
+            step_times,
             avoid: SmallVec::new(),
             cache_lost: SmallVec::new(),
             used: SmallVec::new(),
@@ -177,14 +177,14 @@
             return actions;
         }
         let Phase::Running { sent, .. } = self.phase else {
-            self.ledger.reject_idle();
+            self.reply_filter.reject_idle();
             return actions;
         };
-        if self.ledger.accept(endpoint, &reply.label).is_err() {
+        if self.reply_filter.accept(endpoint, &reply.label).is_err() {
             return actions;
         }
         if self.step.count == 1 {
-            self.progress.observe(self.step.stage, ctx.now.since(sent));
+            self.step_times.observe(self.step.stage, ctx.now.since(sent));
         }
         let last = self.step.stage + 1 == self.chain.stages().len();
         match reply.output {
@@ -220,10 +220,10 @@
             return actions;
         }
         if !matches!(self.phase, Phase::Running { .. }) {
-            self.ledger.reject_idle();
+            self.reply_filter.reject_idle();
             return actions;
         }
-        if self.ledger.accept(endpoint, label).is_ok() {
+        if self.reply_filter.accept(endpoint, label).is_ok() {
             self.recover(ctx, failure, retry_after, &mut actions);
         }
         actions
@@ -268,10 +268,10 @@
             return actions;
         }
         let Phase::Importing { transfers, .. } = &mut self.phase else {
-            self.ledger.reject_idle();
+            self.reply_filter.reject_idle();
             return actions;
         };
-        if self.ledger.accept(to, label).is_err() {
+        if self.reply_filter.accept(to, label).is_err() {
             return actions;
         }
         if result.is_err() {
@@ -293,12 +293,12 @@
         }
         match self.phase {
             Phase::Running { sent, until } if ctx.now >= until => {
-                self.ledger.clear();
+                self.reply_filter.clear();
                 let failure = Failure::Silent(ctx.now.since(sent));
                 self.recover(ctx, &failure, None, &mut actions);
             }
-            Phase::Backoff { until, next } if ctx.now >= until => {
-                self.proceed(ctx, next, &mut actions);
+            Phase::Backoff { until, recovery } if ctx.now >= until => {
+                self.start_recovery(ctx, recovery, &mut actions);
             }
             Phase::Choosing { lost, since, retry_at: Some(retry_at), searches }
                 if ctx.now >= retry_at =>
@@ -306,7 +306,7 @@
                 self.choose(ctx.now, lost, since, searches + 1, &mut actions);
             }
             Phase::Importing { until, .. } if ctx.now >= until => {
-                self.ledger.clear();
+                self.reply_filter.clear();
                 self.rebuild(ctx, &mut actions);
             }
             _ => {}
@@ -355,8 +355,8 @@
     }
 
     /// Counts of the replies dropped.
-    pub const fn drops(&self) -> &Drops {
-        self.ledger.drops()
+    pub const fn drops(&self) -> &DropCounts {
+        self.reply_filter.drops()
     }
 }
 
--- a/mimosashift/src/pipeline/machine/recover.rs
+++ b/mimosashift/src/pipeline/machine/recover.rs
@@ -9,7 +9,7 @@
 };
 use crate::engine::Failure;
 use crate::pipeline::action::{Action, Actions, Code, Context, Scope};
-use crate::pipeline::recovery::{self, Endpoints, Plan, Point, Transfer};
+use crate::pipeline::recovery::{self, Endpoints, InterruptedStep, Plan, Transfer};
 use crate::pipeline::retry;
 use crate::resource::{Layers, Name};
 use crate::route::Chain;
@@ -33,32 +33,32 @@
         if !failure.not_run() {
             self.execution = self.execution.max(Execution::MayHaveRun);
         }
-        let next = self.classify(failure, retry_after, ctx.now);
+        let recovery = self.classify(failure, retry_after, ctx.now);
         let immediate = self.recoveries_since_token == 0 && *failure != Failure::Overloaded;
         let pause = if immediate {
             Duration::ZERO
         } else {
-            let min_pause = if matches!(next, Recovery::Replace) { None } else { retry_after };
+            let min_pause = if matches!(recovery, Recovery::Replace) { None } else { retry_after };
             retry::backoff(self.recoveries_since_token, min_pause, ctx.rng)
         };
         self.recoveries_since_token += 1;
         self.total_recoveries += 1;
         let earliest = ctx.now + pause;
-        if earliest + self.min_recovery_time(next) >= self.request.deadline {
+        if earliest + self.min_recovery_time(recovery) >= self.request.deadline {
             return self.fail(Code::OutOfTime, None, actions);
         }
         if let Err(wait) = ctx.budget.take(ctx.now) {
             return self.fail(Code::RetryBudget, Some(wait), actions);
         }
         if immediate {
-            return self.proceed(ctx, next, actions);
+            return self.start_recovery(ctx, recovery, actions);
         }
-        self.phase = Phase::Backoff { until: earliest, next };
+        self.phase = Phase::Backoff { until: earliest, recovery };
     }
 
     /// Lower bound of the time to finish the completion after a recovery.
-    fn min_recovery_time(&self, next: Recovery) -> Duration {
-        let prefill = match next {
+    fn min_recovery_time(&self, recovery: Recovery) -> Duration {
+        let prefill = match recovery {
             Recovery::Rebuild => self.cost.prefill_time(self.prefix_len()),
             Recovery::Resend | Recovery::Replace => Duration::ZERO,
         };
@@ -122,8 +122,13 @@
         }
     }
 
-    pub(super) fn proceed(&mut self, ctx: &mut Context<'_>, next: Recovery, actions: &mut Actions) {
-        match next {
+    pub(super) fn start_recovery(
+        &mut self,
+        ctx: &mut Context<'_>,
+        recovery: Recovery,
+        actions: &mut Actions,
+    ) {
+        match recovery {
             Recovery::Resend => self.send(ctx, actions),
             Recovery::Rebuild => self.rebuild(ctx, actions),
             Recovery::Replace => {
@@ -179,7 +184,7 @@
         }
         self.overloads = 0;
         let layer = self.chain.stages()[self.step.stage].layers.start();
-        self.progress.rebase(&replacement.chain);
+        self.step_times.set_chain(&replacement.chain);
         self.chain = replacement.chain;
         match plan {
             Plan::Rebuild => self.rebuild(ctx, actions),
@@ -193,7 +198,7 @@
     }
 
     fn plan(&self, replacement: &Replacement) -> Plan {
-        let at = Point {
+        let at = InterruptedStep {
             layer: self.chain.stages()[self.step.stage].layers.start(),
             position: self.step.position,
             count: self.step.count,
@@ -225,7 +230,7 @@
         let timeout = timeout.min(self.request.deadline.since(ctx.now));
         let label = self.label(layers, 0, tokens);
         self.mark_used(&to);
-        self.ledger.expect(to.clone(), label.clone());
+        self.reply_filter.expect(to.clone(), label.clone());
         self.phase = Phase::Importing { transfers, until: ctx.now + timeout };
         actions.push(Action::Import { from, to, label, timeout });
     }
--- a/mimosashift/src/pipeline/machine/step.rs
+++ b/mimosashift/src/pipeline/machine/step.rs
@@ -27,7 +27,7 @@
         let label = self.label(stage.layers, self.step.position, self.step.count);
         let timeout = self.step_timeout().min(self.request.deadline.since(ctx.now));
         self.mark_used(&stage.endpoint);
-        self.ledger.expect(stage.endpoint.clone(), label.clone());
+        self.reply_filter.expect(stage.endpoint.clone(), label.clone());
         self.phase = Phase::Running { sent: ctx.now, until: ctx.now + timeout };
         let step = Step {
             label,
@@ -41,7 +41,7 @@
     pub(super) fn on_token(&mut self, ctx: &mut Context<'_>, token: u32, actions: &mut Actions) {
         self.execution = Execution::Ran;
         if self.recoveries_since_token == 0 && self.step.position > 0 {
-            self.progress.observe_token(ctx.now.since(self.token_started));
+            self.step_times.observe_token(ctx.now.since(self.token_started));
         }
         self.recoveries_since_token = 0;
         self.overloads = 0;
@@ -63,10 +63,10 @@
 
     fn step_timeout(&self) -> Duration {
         if self.step.count == 1 {
-            return self.progress.decode_timeout(self.step.stage, self.recoveries_since_token);
+            return self.step_times.decode_timeout(self.step.stage, self.recoveries_since_token);
         }
         let expected = self.stage_prefill_time();
-        self.progress.prefill_timeout(expected, self.recoveries_since_token)
+        self.step_times.prefill_timeout(expected, self.recoveries_since_token)
     }
 
     /// Expected prefill time of the current stage, by its share of the layers.
@@ -104,7 +104,7 @@
     /// observed token time.
     pub(super) fn min_completion_time(&self) -> Duration {
         let tokens = if self.request.stop.is_some() { 1 } else { self.remaining() };
-        self.progress.least(tokens)
+        self.step_times.min_time(tokens)
     }
 
     pub(super) fn mark_used(&mut self, endpoint: &Name) {
--- a/mimosashift/src/pipeline/mod.rs
+++ b/mimosashift/src/pipeline/mod.rs
@@ -6,14 +6,14 @@
 
 mod action;
 mod hedge;
-mod ledger;
 mod machine;
-mod progress;
 pub mod recovery;
+mod reply_filter;
 pub mod retry;
+mod step_times;
 
 pub use action::{Action, Actions, Code, Context, Effect, Outcome, Request, Scope};
-pub use hedge::Hedge;
-pub use ledger::{Drops, Ledger, Reason};
+pub use hedge::HedgedRequest;
 pub use machine::{Machine, Replacement};
-pub use progress::{Limits, Progress};
+pub use reply_filter::{DropCounts, DropReason, ReplyFilter};
+pub use step_times::{Limits, StepTimes};
--- a/mimosashift/src/pipeline/recovery.rs
+++ b/mimosashift/src/pipeline/recovery.rs
@@ -88,7 +88,7 @@
 
 /// The step at which a chain was interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Point {
+pub struct InterruptedStep {
     /// First layer that has not run for the step.
     pub layer: u16,
     /// Position of the step.
@@ -97,7 +97,7 @@
     pub count: u32,
 }
 
-impl Point {
+impl InterruptedStep {
     /// Number of tokens whose cache `stage` must hold for the step to resume.
     fn cached(self, stage: &Stage) -> u32 {
         if stage.layers.end() <= self.layer { self.position + self.count } else { self.position }
@@ -124,7 +124,13 @@
 }
 
 /// Chooses the cheaper way to continue on `new` after `old`.
-pub fn plan(old: &Chain, new: &Chain, at: Point, endpoints: Endpoints<'_>, cost: &Cost) -> Plan {
+pub fn plan(
+    old: &Chain,
+    new: &Chain,
+    at: InterruptedStep,
+    endpoints: Endpoints<'_>,
+    cost: &Cost,
+) -> Plan {
     let Some(transfers) = transfers(old, new, at, endpoints) else { return Plan::Rebuild };
     let rebuild = cost.prefill_time(at.position + at.count);
     if cost.import_time(&transfers) > rebuild { Plan::Rebuild } else { Plan::Resume(transfers) }
@@ -135,7 +141,7 @@
 fn transfers(
     old: &Chain,
     new: &Chain,
-    at: Point,
+    at: InterruptedStep,
     endpoints: Endpoints<'_>,
 ) -> Option<SmallVec<[Transfer; 2]>> {
     let resumable = new.stages().iter().any(|stage| stage.layers.start() == at.layer);
--- a/mimosashift/src/pipeline/ledger.rs
+++ b/mimosashift/src/pipeline/reply_filter.rs
@@ -7,7 +7,7 @@
 
 /// Why a reply or failure was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum DropReason {
     /// No step is in flight: the reply is late or a duplicate.
     Idle,
     /// It belongs to another request.
@@ -24,7 +24,7 @@
     Endpoint,
 }
 
-impl Reason {
+impl DropReason {
     /// Every reason, in the order in which labels are compared.
     pub const ALL: [Self; 7] = [
         Self::Idle,
@@ -50,7 +50,7 @@
     }
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for DropReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -58,11 +58,11 @@
 
 /// Number of dropped replies for each reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Drops([u32; Reason::ALL.len()]);
+pub struct DropCounts([u32; DropReason::ALL.len()]);
 
-impl Drops {
+impl DropCounts {
     /// Replies dropped for `reason`.
-    pub const fn count(&self, reason: Reason) -> u32 {
+    pub const fn count(&self, reason: DropReason) -> u32 {
         self.0[reason as usize]
     }
 
@@ -71,7 +71,7 @@
         self.0.iter().sum()
     }
 
-    const fn add(&mut self, reason: Reason) {
+    const fn add(&mut self, reason: DropReason) {
         self.0[reason as usize] += 1;
     }
 }
@@ -81,12 +81,12 @@
 ///
 /// An accepted reply clears the expectation, so a duplicate never matches.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct ReplyFilter {
     expected: Option<(Name, Label)>,
-    drops: Drops,
+    drops: DropCounts,
 }
 
-impl Ledger {
+impl ReplyFilter {
     /// Replaces the expected reply.
     pub fn expect(&mut self, endpoint: Name, label: Label) {
         self.expected = Some((endpoint, label));
@@ -98,7 +98,7 @@
     }
 
     /// Accepts the expected reply once; drops and counts any other.
-    pub fn accept(&mut self, endpoint: &Name, label: &Label) -> Result<(), Reason> {
+    pub fn accept(&mut self, endpoint: &Name, label: &Label) -> Result<(), DropReason> {
         let result = self.check(endpoint, label);
         match result {
             Ok(()) => self.expected = None,
@@ -109,7 +109,7 @@
 
     /// Counts a reply that is no longer expected.
     pub const fn reject_idle(&mut self) {
-        self.drops.add(Reason::Idle);
+        self.drops.add(DropReason::Idle);
     }
 
     /// Whether a reply is expected.
@@ -118,21 +118,23 @@
     }
 
     /// Counts of the replies dropped so far.
-    pub const fn drops(&self) -> &Drops {
+    pub const fn drops(&self) -> &DropCounts {
         &self.drops
     }
 
-    fn check(&self, endpoint: &Name, label: &Label) -> Result<(), Reason> {
-        let Some((expected_endpoint, expected)) = &self.expected else { return Err(Reason::Idle) };
+    fn check(&self, endpoint: &Name, label: &Label) -> Result<(), DropReason> {
+        let Some((expected_endpoint, expected)) = &self.expected else {
+            return Err(DropReason::Idle);
+        };
         let same_version = label.pipeline == expected.pipeline && label.version == expected.version;
         let same_position = label.position == expected.position && label.count == expected.count;
         let checks = [
-            (label.request == expected.request, Reason::Request),
-            (same_version, Reason::Version),
-            (label.attempt == expected.attempt, Reason::Attempt),
-            (same_position, Reason::Position),
-            (label.layers == expected.layers, Reason::Layers),
-            (endpoint == expected_endpoint, Reason::Endpoint),
+            (label.request == expected.request, DropReason::Request),
+            (same_version, DropReason::Version),
+            (label.attempt == expected.attempt, DropReason::Attempt),
+            (same_position, DropReason::Position),
+            (label.layers == expected.layers, DropReason::Layers),
+            (endpoint == expected_endpoint, DropReason::Endpoint),
         ];
         match checks.iter().find(|(matches, _)| !matches) {
             Some((_, reason)) => Err(*reason),
--- a/mimosashift/src/pipeline/progress.rs
+++ b/mimosashift/src/pipeline/step_times.rs
@@ -26,20 +26,20 @@
 
 /// Observed step times of the stages of one request.
 #[derive(Clone, Debug)]
-pub struct Progress {
+pub struct StepTimes {
     limits: Limits,
     stages: SmallVec<[(Stage, Option<Duration>); 8]>,
     min_token_time: Option<Duration>,
 }
 
-impl Progress {
+impl StepTimes {
     /// Creates an instance without observations.
     pub const fn new(limits: Limits) -> Self {
         Self { limits, stages: SmallVec::new_const(), min_token_time: None }
     }
 
     /// Changes the chain and keeps the observations of unchanged stages.
-    pub fn rebase(&mut self, chain: &Chain) {
+    pub fn set_chain(&mut self, chain: &Chain) {
         let observed = |stage: &Stage| self.stages.iter().find(|(s, _)| s == stage)?.1;
         let stages = chain.stages().iter().map(|stage| (stage.clone(), observed(stage))).collect();
         self.stages = stages;
@@ -61,7 +61,7 @@
     }
 
     /// Lower bound of the time for `tokens` more tokens.
-    pub fn least(&self, tokens: u32) -> Duration {
+    pub fn min_time(&self, tokens: u32) -> Duration {
         self.min_token_time.unwrap_or_default().saturating_mul(tokens)
     }
 
--- a/mimosashift/src/posting/batch.rs
+++ b/mimosashift/src/posting/batch.rs
@@ -9,7 +9,7 @@
 use crate::time::Instant;
 
 /// Maximum number of writes in one batch.
-pub const MAX_MEMBERS: usize = 64;
+pub const MAX_BATCH_MEMBERS: usize = 64;
 
 /// Longest time that a write waits to be grouped with others while the write
 /// budget allows a commit.
@@ -45,7 +45,7 @@
 
 /// Result of a grouped commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settled<T> {
+pub struct BatchOutcome<T> {
     /// Outcomes of the members that are finished.
     pub outcomes: Vec<(T, Outcome<u64>)>,
     /// Batches that still have to be committed.
@@ -143,7 +143,7 @@
     }
 
     /// Maps the outcome of the grouped commit to its members.
-    pub fn settle(mut self, outcome: Outcome<u64>) -> Settled<T> {
+    pub fn settle(mut self, outcome: Outcome<u64>) -> BatchOutcome<T> {
         match outcome {
             Outcome::NotDone(Refusal::Conflict(Some(row))) => self.settle_conflict(row),
             Outcome::NotDone(Refusal::Conflict(None) | Refusal::Invalid(_))
@@ -151,7 +151,7 @@
             {
                 let second = self.members.split_off(self.members.len() / 2);
                 let second = Self { members: second, ..self };
-                Settled { outcomes: Vec::new(), rest: vec![self, second] }
+                BatchOutcome { outcomes: Vec::new(), rest: vec![self, second] }
             }
             Outcome::Done(_) => self.settle_all(&outcome),
             Outcome::NotDone(_) if !self.uncertain => self.settle_all(&outcome),
@@ -161,7 +161,7 @@
             Outcome::NotDone(_) | Outcome::Unknown => {
                 self.repeats_left -= 1;
                 self.uncertain = true;
-                Settled { outcomes: Vec::new(), rest: vec![self] }
+                BatchOutcome { outcomes: Vec::new(), rest: vec![self] }
             }
         }
     }
@@ -170,7 +170,7 @@
     ///
     /// A transaction is atomic: when the row shows that an earlier commit of
     /// this batch wrote it, that commit wrote the rows of all members.
-    fn settle_conflict(mut self, row: Row) -> Settled<T> {
+    fn settle_conflict(mut self, row: Row) -> BatchOutcome<T> {
         let conflicts = |m: &Member<T>| m.rows().any(|key| *key == row.key);
         let Some(index) = self.members.iter().position(conflicts) else {
             return self.settle_all(&Outcome::Unknown);
@@ -183,17 +183,17 @@
         self.uncertain &= wrote;
         let outcome = Outcome::NotDone(Refusal::Conflict(Some(row)));
         let rest = if self.members.is_empty() { Vec::new() } else { vec![self] };
-        Settled { outcomes: vec![(member.tag, outcome)], rest }
+        BatchOutcome { outcomes: vec![(member.tag, outcome)], rest }
     }
 
-    fn settle_all(self, outcome: &Outcome<u64>) -> Settled<T> {
+    fn settle_all(self, outcome: &Outcome<u64>) -> BatchOutcome<T> {
         let outcomes = self.members.into_iter().map(|m| (m.tag, outcome.clone())).collect();
-        Settled { outcomes, rest: Vec::new() }
+        BatchOutcome { outcomes, rest: Vec::new() }
     }
 }
 
 impl<T> Default for Queue<T> {
     fn default() -> Self {
-        Self::new(MAX_MEMBERS, LINGER)
+        Self::new(MAX_BATCH_MEMBERS, LINGER)
     }
 }
--- a/mimosashift/src/posting/resolve.rs
+++ b/mimosashift/src/posting/resolve.rs
@@ -31,11 +31,11 @@
             display("{}", e)
         }
         /// The outcome is already known.
-        Settled(key: String) {
+        AlreadySettled(key: String) {
             display("claim {:?} is settled already", key)
         }
         /// The router that wrote the claim may still send the call.
-        TooYoung(key: String, age: Duration) {
+        TooRecent(key: String, age: Duration) {
             display("claim {:?} is {} s old, must be {} s", key, age.as_secs(), MIN_RESOLVE_AGE.as_secs())
         }
     }
@@ -51,11 +51,11 @@
 ) -> Result<Transaction, Error> {
     let entry = Entry::try_from(row)?;
     if entry.state != State::Claimed {
-        return Err(Error::Settled(row.key.key.clone()));
+        return Err(Error::AlreadySettled(row.key.key.clone()));
     }
     let age = age(&entry, unix_ms);
     if age < MIN_RESOLVE_AGE {
-        return Err(Error::TooYoung(row.key.key.clone(), age));
+        return Err(Error::TooRecent(row.key.key.clone(), age));
     }
     let state = match verdict {
         Verdict::Ran => State::Ran,
--- a/mimosashift/tests/common/explore.rs
+++ b/mimosashift/tests/common/explore.rs
@@ -1,32 +1,32 @@
-//! A bounded breadth-first explorer of state machines.
+//! A bounded breadth-first model checker.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A system whose every reachable state is checked.
+/// A system whose reachable states are all checked.
 pub trait System: Sized + Hash {
-    /// The states that one step may lead to.
+    /// The states that are reachable in one step.
     fn successors(&self) -> Vec<Self>;
 
-    /// The property that this state breaks.
+    /// The property that this state violates, if any.
     fn violation(&self) -> Option<String>;
 }
 
-/// What an exploration saw.
+/// Result of an exploration.
 #[derive(Debug)]
 pub struct Report {
     /// Number of distinct states.
     pub states: usize,
-    /// Steps to the deepest of them.
+    /// Number of steps to the deepest of them.
     pub depth: usize,
-    /// Whether no state was left out.
+    /// Whether every reachable state was visited.
     pub complete: bool,
     /// The first violation found.
     pub violation: Option<String>,
 }
 
-/// Visits up to `limit` states in breadth-first order until one breaks a
-/// property. States are remembered by a 128-bit hash.
+/// Visits up to `limit` states in breadth-first order until one violates a
+/// property. Visited states are recorded by a 128-bit hash.
 pub fn explore<S: System>(initial: S, limit: usize) -> Report {
     let mut seen = HashSet::from([fingerprint(&initial)]);
     let mut level = vec![initial];
--- a/mimosashift/tests/common/posting_sim.rs
+++ b/mimosashift/tests/common/posting_sim.rs
@@ -1,4 +1,4 @@
-//! Four routers before a faulty table and service, in virtual time.
+//! Simulation of four routers with a faulty table and service, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -21,16 +21,16 @@
 const TRIES: u8 = 4;
 const TABLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What happened to the calls of one or more runs.
+/// Counts of what happened to the calls of one or more runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub posted: u64,
     pub run: u64,
-    pub doubled: u64,
-    /// Tries that were called not run although they ran.
+    pub executed_twice: u64,
+    /// Attempts that were reported as not run although they ran.
     pub false_not_run: u64,
-    /// Calls answered with a result that the service never gave.
-    pub invented: u64,
+    /// Calls answered with a reply that the service never sent.
+    pub unknown_reply: u64,
     pub replied: u64,
     pub refused: u64,
     pub unknown: u64,
@@ -68,7 +68,7 @@
 
 struct Sim {
     rng: Pcg64Mcg,
-    own_nonces: bool,
+    unique_nonces: bool,
     now: Instant,
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
     sequence: u64,
@@ -84,16 +84,16 @@
     counts: Counts,
 }
 
-/// Runs one seed to its end, with a nonce for each try or, by mistake, one
-/// nonce for all.
-pub fn run(seed: u64, own_nonces: bool) -> Counts {
+/// Runs one seed to its end, with a separate nonce for each attempt or, as an
+/// injected mistake, one nonce for all attempts.
+pub fn run(seed: u64, unique_nonces: bool) -> Counts {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let outage_at = Instant::from_millis(rng.random_range(0..6_000));
     let outage = (outage_at, outage_at + Duration::from_millis(rng.random_range(0..4_000)));
     let queue = Queue::new(8, Duration::from_millis(3));
     let mut sim = Sim {
         rng,
-        own_nonces,
+        unique_nonces,
         now: Instant::ZERO,
         events: BinaryHeap::new(),
         sequence: 0,
@@ -172,14 +172,14 @@
         self.tries[call] += 1;
         let request = Request {
             key: Some(Key { table: TABLE.to_owned(), key: format!("t/s/{call}") }),
-            nonce: Nonce(if self.own_nonces { self.rng.random() } else { 1 }),
+            nonce: Nonce(if self.unique_nonces { self.rng.random() } else { 1 }),
             digest: Digest::new("POST", "/orders", &call.to_be_bytes()),
             unix_ms: 0,
         };
         let (machine, actions) = Machine::new(Settings::default(), request, self.now);
         self.attempts.push(Attempt { machine, router, call, delivery: None, not_run: false });
         self.act(self.attempts.len() - 1, actions);
-        // Some callers repeat without waiting for the answer.
+        // Some callers retry without waiting for the answer.
         if self.rng.random_bool(0.2) {
             let after = self.millis(0..50);
             self.after(after, Event::Start(call));
@@ -217,7 +217,7 @@
         let connects = self.now < before && self.rng.random_bool(0.9);
         let arrives = self.rng.random_bool(0.97);
         let answers = self.rng.random_bool(0.95);
-        let way = self.millis(1..300);
+        let transit = self.millis(1..300);
         let delivery = if !connects {
             Delivery::NotConnected
         } else if arrives && answers {
@@ -226,10 +226,10 @@
             Delivery::Lost
         };
         if connects && arrives {
-            self.after(way, Event::Run(attempt));
+            self.after(transit, Event::Run(attempt));
         }
         self.attempts[attempt].delivery = Some(delivery);
-        self.after(way, Event::Delivered(attempt));
+        self.after(transit, Event::Delivered(attempt));
     }
 
     fn answer(&mut self, attempt: usize, answer: Answer) {
@@ -258,25 +258,32 @@
     fn commit(&mut self, router: usize, batch: Batch<usize>) {
         self.counts.commits += 1;
         let slow = self.rng.random_bool(0.05);
-        let way = if slow { self.millis(0..3_000) } else { self.millis(1..20) };
-        let back = self.millis(1..20);
+        let transit = if slow { self.millis(0..3_000) } else { self.millis(1..20) };
+        let return_transit = self.millis(1..20);
         let down = (self.outage.0..self.outage.1).contains(&self.now);
         let request_lost = self.rng.random_bool(0.02) || (down && self.rng.random_bool(0.5));
-        let answer_lost = self.rng.random_bool(0.03) || way + back > TABLE_TIMEOUT;
+        let answer_lost = self.rng.random_bool(0.03) || transit + return_transit > TABLE_TIMEOUT;
         let refused = down && !request_lost;
         let unknown = request_lost || answer_lost;
-        let answer_at = self.now + if unknown && !refused { TABLE_TIMEOUT } else { way + back };
+        let answer_at =
+            self.now + if unknown && !refused { TABLE_TIMEOUT } else { transit + return_transit };
         let outcome =
             if refused { Outcome::NotDone(Refusal::Unavailable) } else { Outcome::Unknown };
         let transaction = batch.transaction();
         let index = self.commits.len();
         if !request_lost && !refused {
-            self.after(way, Event::Apply(index));
+            self.after(transit, Event::Apply(index));
         }
         let batch = Some(batch);
-        // An answer that is lost must not reach the router by `Apply`.
-        let reaches = if answer_lost { Instant::ZERO } else { answer_at };
-        self.commits.push(Commit { router, batch, transaction, outcome, answer_at: reaches });
+        // `Apply` must not set the outcome when the answer is lost.
+        let answer_arrival = if answer_lost { Instant::ZERO } else { answer_at };
+        self.commits.push(Commit {
+            router,
+            batch,
+            transaction,
+            outcome,
+            answer_at: answer_arrival,
+        });
         self.at(answer_at, Event::Settle(index));
     }
 
@@ -294,7 +301,7 @@
         }
     }
 
-    /// Ends a router without warning; another takes its place.
+    /// Crashes a router; a new one takes its place.
     fn crash(&mut self, router: usize) {
         self.queues[router] = Queue::new(8, Duration::from_millis(3));
         for commit in self.commits.iter_mut().filter(|commit| commit.router == router) {
@@ -314,14 +321,14 @@
         counts.posted = CALLS as u64;
         for (call, executed) in self.executed.iter().enumerate() {
             counts.run += u64::from(!executed.is_empty());
-            counts.doubled += u64::from(executed.len() > 1);
+            counts.executed_twice += u64::from(executed.len() > 1);
             counts.false_not_run +=
                 executed.iter().filter(|attempt| self.attempts[**attempt].not_run).count() as u64;
             match &self.answers[call] {
                 Some(Answer::Replied(got) | Answer::Recorded(got)) => {
                     counts.replied += 1;
                     let given = executed.iter().any(|attempt| reply(*attempt) == *got);
-                    counts.invented += u64::from(!given);
+                    counts.unknown_reply += u64::from(!given);
                 }
                 Some(Answer::NotRun) => counts.refused += 1,
                 _ => counts.unknown += 1,
@@ -335,9 +342,9 @@
     fn add_assign(&mut self, other: Self) {
         self.posted += other.posted;
         self.run += other.run;
-        self.doubled += other.doubled;
+        self.executed_twice += other.executed_twice;
         self.false_not_run += other.false_not_run;
-        self.invented += other.invented;
+        self.unknown_reply += other.unknown_reply;
         self.replied += other.replied;
         self.refused += other.refused;
         self.unknown += other.unknown;
--- a/mimosashift/tests/common/posting_world.rs
+++ b/mimosashift/tests/common/posting_world.rs
@@ -1,4 +1,5 @@
-//! Routers, one row of the table and a service, for checking the claim protocol.
+//! Model of two routers, one table row and a service, for checking the claim
+//! protocol.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 
 use super::explore::System;
 
-/// A mistake put into the protocol, to show that it is caught.
+/// A mistake injected into the protocol to verify that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mistake {
     None,
@@ -24,9 +25,9 @@
     ResolveYoungClaim,
 }
 
-/// How often each kind of event may still happen.
+/// How many more events of each kind may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Allowance {
+pub struct EventLimits {
     pub tries: u8,
     pub faults: u8,
     pub crashes: u8,
@@ -35,7 +36,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Pending {
-    over: Option<u64>,
+    replaced: Option<u64>,
     value: Option<String>,
 }
 
@@ -53,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     mistake: Mistake,
-    pub left: Allowance,
+    pub left: EventLimits,
     routers: [Option<Router>; 2],
     row: Option<(u64, String)>,
     revision: u64,
@@ -73,7 +74,7 @@
 };
 
 impl World {
-    pub fn new(mistake: Mistake, left: Allowance) -> Self {
+    pub fn new(mistake: Mistake, left: EventLimits) -> Self {
         Self {
             mistake,
             left,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// What the table holds.
+    /// The entry in the table row.
     pub fn entry(&self) -> Option<Entry> {
         let (revision, value) = self.row.as_ref()?;
         let row = Row { key: key(), revision: *revision, value: value.clone() };
@@ -101,9 +102,9 @@
         let nonce = next.next_nonce;
         next.next_nonce += 1;
         next.left.tries -= 1;
-        let drawn = if self.mistake == Mistake::SharedNonce { 1 } else { nonce };
+        let used_nonce = if self.mistake == Mistake::SharedNonce { 1 } else { nonce };
         let digest = Digest::new("POST", "/charges", b"{}");
-        let request = Request { key: Some(key()), nonce: Nonce(drawn), digest, unix_ms: 0 };
+        let request = Request { key: Some(key()), nonce: Nonce(used_nonce), digest, unix_ms: 0 };
         let (machine, actions) = Machine::new(SETTINGS, request, Instant::ZERO);
         if self.mistake == Mistake::SendBeforeClaim {
             next.executed.push(nonce);
@@ -127,7 +128,7 @@
             match action {
                 Action::Commit { transaction, .. } => {
                     assert!(router.pending.is_none(), "one commit at a time");
-                    let over = match &transaction.checks[..] {
+                    let replaced = match &transaction.checks[..] {
                         [Check::Absent(_)] => None,
                         [Check::Revision(_, revision)] => Some(*revision),
                         checks => panic!("one check expected: {checks:?}"),
@@ -138,7 +139,7 @@
                     let released = value.contains("\"released\"");
                     let delete = released && mistake == Mistake::DeleteOnWithdraw;
                     router.pending =
-                        Some(Pending { over, value: (!delete).then(|| value.clone()) });
+                        Some(Pending { replaced, value: (!delete).then(|| value.clone()) });
                 }
                 Action::Send { before } => router.send_before = Some(before),
                 Action::Answer(answer) => {
@@ -152,7 +153,7 @@
 
     fn apply(&mut self, write: &Pending) -> Outcome<u64> {
         let found = self.row.as_ref().map(|(revision, _)| *revision);
-        if found != write.over {
+        if found != write.replaced {
             let row = self.row.clone();
             let row = row.map(|(revision, value)| Row { key: key(), revision, value });
             return Outcome::NotDone(Refusal::Conflict(row));
@@ -171,7 +172,7 @@
             }
             if !answered {
                 outcome = Outcome::Unknown;
-                let absent = next.row.is_none() && write.over.is_none();
+                let absent = next.row.is_none() && write.replaced.is_none();
                 if self.mistake == Mistake::TrustStaleAbsent && absent {
                     outcome = Outcome::NotDone(Refusal::Unavailable);
                 }
@@ -268,8 +269,8 @@
         }
     }
 
-    /// Moves a router's clock; its machine hears of it unless it waits for an
-    /// answer, as after a pause of the process.
+    /// Advances a router's clock. Its machine gets a tick unless a commit is
+    /// pending, as after a pause of the process.
     fn with_time(&self, index: usize, now: Instant, faults: u8) -> Self {
         let mut next = self.clone();
         next.left.faults -= faults;
@@ -282,8 +283,8 @@
         next
     }
 
-    /// An operator resolves the claim after finding out what is true, and after
-    /// the claim's router can no longer send.
+    /// An operator resolves the claim after finding out whether the call ran, and
+    /// after the claim's router can no longer send it.
     fn resolved(&self) -> Option<Self> {
         let (revision, value) = self.row.clone()?;
         let row = Row { key: key(), revision, value };
@@ -294,8 +295,8 @@
                 && r.now < Instant::ZERO + SETTINGS.send_window
         };
         let young = self.routers.iter().flatten().any(may_send);
-        let on_the_way = self.delayed_calls.contains(&owner);
-        if on_the_way || (young && self.mistake != Mistake::ResolveYoungClaim) {
+        let call_in_flight = self.delayed_calls.contains(&owner);
+        if call_in_flight || (young && self.mistake != Mistake::ResolveYoungClaim) {
             return None;
         }
         let ran = self.executed.contains(&owner);
@@ -306,7 +307,7 @@
         let Write::Put(_, value) = &transaction.writes[0] else { panic!("a put expected") };
         let mut next = self.clone();
         next.left.resolves -= 1;
-        next.apply(&Pending { over: Some(revision), value: Some(value.clone()) });
+        next.apply(&Pending { replaced: Some(revision), value: Some(value.clone()) });
         Some(next)
     }
 
@@ -387,6 +388,6 @@
 fn nonce_of(reply: &Reply) -> u64 {
     match &reply.body {
         Body::Whole(bytes) => u64::from_be_bytes(bytes[..].try_into().unwrap()),
-        Body::Digest(_) => panic!("small bodies are kept whole"),
+        Body::Digest(_) => panic!("small bodies are stored in full"),
     }
 }
--- a/mimosashift/tests/model_check.rs
+++ b/mimosashift/tests/model_check.rs
@@ -1,4 +1,5 @@
-//! Explores the protocols' own code over all short fault sequences.
+//! Model checks of the posting and lease protocols: runs the production code
+//! under all short sequences of faults.
 
 #[path = "common/explore.rs"]
 mod explore;
@@ -8,11 +9,11 @@
 mod posting_world;
 
 use explore::explore;
-use posting_world::{Allowance, Mistake, World};
+use posting_world::{EventLimits, Mistake, World};
 
 const MAX_STATES: usize = 1_500_000;
 
-fn posting(mistake: Mistake, left: Allowance) -> explore::Report {
+fn posting(mistake: Mistake, left: EventLimits) -> explore::Report {
     let report = explore(World::new(mistake, left), MAX_STATES);
     eprintln!("posting {mistake:?} {left:?}: {report:?}");
     report
@@ -24,12 +25,12 @@
     report
 }
 
-/// Names each mistake and the violation by which it must be caught.
+/// Lists each injected mistake and the violation that must reveal it.
 macro_rules! caught {
     ($($case:ident: $mistake:ident => $violation:literal;)*) => {$(
         #[test]
         fn $case() {
-            let left = Allowance { tries: 2, faults: 2, crashes: 0, resolves: 1 };
+            let left = EventLimits { tries: 2, faults: 2, crashes: 0, resolves: 1 };
             let violation = posting(Mistake::$mistake, left).violation.unwrap();
             assert!(violation.contains($violation), "{violation}");
         }
@@ -47,20 +48,22 @@
 
 #[test]
 fn posting_holds_with_faults() {
-    let report = posting(Mistake::None, Allowance { tries: 2, faults: 3, crashes: 0, resolves: 0 });
+    let report =
+        posting(Mistake::None, EventLimits { tries: 2, faults: 3, crashes: 0, resolves: 0 });
     assert_eq!(report.violation, None);
     assert!(report.complete);
 }
 
 #[test]
 fn posting_holds_with_crash_and_operator() {
-    let report = posting(Mistake::None, Allowance { tries: 3, faults: 2, crashes: 1, resolves: 1 });
+    let report =
+        posting(Mistake::None, EventLimits { tries: 3, faults: 2, crashes: 1, resolves: 1 });
     assert_eq!(report.violation, None);
     assert!(report.complete);
 }
 
-/// Names each mistake in the lease protocol, whether the endpoint checks the
-/// number, and the violation.
+/// Lists each mistake injected into the lease protocol, whether the endpoint
+/// checks the number, and the expected violation.
 macro_rules! lease_caught {
     ($($case:ident: $mistake:ident, $checks:literal => $violation:literal;)*) => {$(
         #[test]
@@ -78,7 +81,7 @@
     lease_forgetful_endpoint: EndpointForgetsNumber, true => "old order may arrive after";
 }
 
-/// Names each case in which the lease protocol must hold.
+/// Lists the cases in which the lease protocol must hold.
 macro_rules! lease_holds {
     ($($case:ident: $checks:literal, $faults:literal;)*) => {$(
         #[test]
--- a/mimosashift/tests/pipeline.rs
+++ b/mimosashift/tests/pipeline.rs
@@ -1,13 +1,13 @@
-//! Checks of the pipeline machine, its ledger, recovery and retry budget.
+//! Tests of the pipeline machine: reply filter, recovery and retry budget.
 
 use std::time::Duration;
 
 use mimosashift::engine::{Failure, Label, Output, Reply, RequestId, Step};
-use mimosashift::pipeline::recovery::{Cost, Endpoints, Plan, Point, plan};
+use mimosashift::pipeline::recovery::{Cost, Endpoints, InterruptedStep, Plan, plan};
 use mimosashift::pipeline::retry::{Budget, Share, backoff};
 use mimosashift::pipeline::{
-    Action, Actions, Code, Context, Effect, Ledger, Limits, Machine, Outcome, Reason, Replacement,
-    Request, Scope,
+    Action, Actions, Code, Context, DropReason, Effect, Limits, Machine, Outcome, Replacement,
+    ReplyFilter, Request, Scope,
 };
 use mimosashift::resource::{Layers, Name};
 use mimosashift::route::{Chain, Stage};
@@ -52,8 +52,8 @@
     }
 }
 
-/// A machine with its clock, randomness and budget.
-struct Bench {
+/// Test harness: a machine with its clock, random numbers and budget.
+struct Harness {
     now: Instant,
     rng: Pcg64Mcg,
     budget: Budget,
@@ -62,7 +62,7 @@
     actions: Actions,
 }
 
-impl Bench {
+impl Harness {
     fn new(max_tokens: u32, deadline: u64, share: Share) -> Self {
         let mut rng = Pcg64Mcg::new(7);
         let mut budget = Budget::new(share, Instant::ZERO);
@@ -152,18 +152,18 @@
     }
 }
 
-/// Names each label that a ledger must drop, with the reason.
+/// Lists labels that the filter must drop, with the reason.
 macro_rules! dropped {
     ($($case:ident: $reason:ident $endpoint:literal $label:expr;)*) => {$(
         #[test]
         fn $case() {
-            let mut ledger = Ledger::default();
-            ledger.expect(name("a"), label());
-            assert_eq!(ledger.accept(&name($endpoint), &$label), Err(Reason::$reason));
-            assert_eq!(ledger.drops().count(Reason::$reason), 1);
-            assert_eq!(ledger.accept(&name("a"), &label()), Ok(()));
-            assert_eq!(ledger.accept(&name("a"), &label()), Err(Reason::Idle));
-            assert_eq!(ledger.drops().total(), 2);
+            let mut filter = ReplyFilter::default();
+            filter.expect(name("a"), label());
+            assert_eq!(filter.accept(&name($endpoint), &$label), Err(DropReason::$reason));
+            assert_eq!(filter.drops().count(DropReason::$reason), 1);
+            assert_eq!(filter.accept(&name("a"), &label()), Ok(()));
+            assert_eq!(filter.accept(&name("a"), &label()), Err(DropReason::Idle));
+            assert_eq!(filter.drops().total(), 2);
         }
     )*};
 }
@@ -180,20 +180,20 @@
     other_endpoint: Endpoint "b" label();
 }
 
-/// What the machine does after a failure of stage b while decoding.
-#[test_case(&Failure::NoCache, None; "cache gone rebuilds on the same chain")]
+/// Recovery after a failure of stage b while decoding.
+#[test_case(&Failure::NoCache, None; "missing cache rebuilds on the same chain")]
 #[test_case(&Failure::Refused(String::new()), None; "refusal rebuilds on the same chain")]
 #[test_case(&Failure::Unreachable(String::new()), Some(layers(4, 8)); "unreachable moves layers")]
 #[test_case(&Failure::Silent(ms(1)), Some(layers(4, 8)); "silence moves layers")]
 #[test_case(&Failure::Leaving, Some(layers(4, 8)); "leaving moves layers")]
 #[test_case(&Failure::Malformed(String::new()), Some(layers(4, 8)); "malformed moves layers")]
 fn failure_while_decoding(failure: &Failure, moved: Option<Layers>) {
-    let mut bench = Bench::new(9, 60_000, Share::default());
-    bench.answer_steps(4);
-    bench.fail(failure, None);
-    assert_eq!(bench.scope(), moved.map(Scope::Range));
+    let mut harness = Harness::new(9, 60_000, Share::default());
+    harness.answer_steps(4);
+    harness.fail(failure, None);
+    assert_eq!(harness.scope(), moved.map(Scope::Range));
     if moved.is_none() {
-        let (endpoint, Step { label, .. }) = bench.sent();
+        let (endpoint, Step { label, .. }) = harness.sent();
         assert_eq!((endpoint, label.attempt, label.position), (name("a"), 2, 0));
         assert_eq!(label.count, PROMPT + 1);
     }
@@ -201,34 +201,35 @@
 
 #[test]
 fn overloaded_endpoint_is_asked_again_then_replaced() {
-    let mut bench = Bench::new(9, 60_000, Share::default());
-    bench.answer_steps(4);
+    let mut harness = Harness::new(9, 60_000, Share::default());
+    harness.answer_steps(4);
     for _ in 0..2 {
-        bench.fail(&Failure::Overloaded, None);
-        assert!(bench.actions.is_empty());
-        bench.wait();
-        assert_eq!(bench.sent().0, name("b"));
+        harness.fail(&Failure::Overloaded, None);
+        assert!(harness.actions.is_empty());
+        harness.wait();
+        assert_eq!(harness.sent().0, name("b"));
     }
-    bench.fail(&Failure::Overloaded, None);
-    bench.wait();
-    assert_eq!(bench.scope(), Some(Scope::Range(layers(4, 8))));
+    harness.fail(&Failure::Overloaded, None);
+    harness.wait();
+    assert_eq!(harness.scope(), Some(Scope::Range(layers(4, 8))));
 }
 
 #[test]
-fn doubled_refusal_of_first_step_counts_once() {
-    let mut bench = Bench::new(9, 60_000, Share { burst: 1.0, ..Share::default() });
-    let (endpoint, first) = bench.sent();
-    bench.fail(&Failure::Overloaded, None);
-    bench.wait();
+fn duplicate_refusal_of_first_step_counts_once() {
+    let mut harness = Harness::new(9, 60_000, Share { burst: 1.0, ..Share::default() });
+    let (endpoint, first) = harness.sent();
+    harness.fail(&Failure::Overloaded, None);
+    harness.wait();
     let refused = |m: &mut Machine, ctx: &mut Context<'_>| {
         m.on_failure(ctx, &endpoint, &first.label, &Failure::Overloaded, None)
     };
-    bench.input(refused);
-    assert!(bench.actions.is_empty());
-    assert_eq!(bench.machine.drops().count(Reason::Attempt), 1);
+    harness.input(refused);
+    assert!(harness.actions.is_empty());
+    assert_eq!(harness.machine.drops().count(DropReason::Attempt), 1);
 }
 
-/// Decides how `abc` goes on at the decode step of token 40 at stage b.
+/// Number of cache copies with which `abc` continues after its decode step at
+/// the given position was interrupted at stage b; `None` for a rebuild.
 #[test_case(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)], &["b"], 40, 100 => Some(1); "small cache is copied")]
 #[test_case(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)], &["b"], 40, 10_000 => None; "large cache is rebuilt")]
 #[test_case(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)], &[], 40, 100 => None; "lost cache is rebuilt")]
@@ -242,114 +243,114 @@
     let holders: Vec<Name> = holders.iter().map(|holder| name(holder)).collect();
     let used = ["a", "b", "c"].map(name);
     let endpoints = Endpoints { holders: &holders, used: &used };
-    let at = Point { layer: 4, position, count: 1 };
+    let at = InterruptedStep { layer: 4, position, count: 1 };
     match plan(&abc(), &chain(stages), at, endpoints, &cost(kv)) {
         Plan::Resume(transfers) => Some(transfers.len()),
         Plan::Rebuild => None,
     }
 }
 
-/// A stage that has run the interrupted step holds its tokens too.
+/// A stage that has already run the interrupted step also holds its tokens.
 #[test]
 fn copy_of_an_earlier_stage_includes_the_step() {
     let new = chain(&[("x", 0, 4), ("y", 4, 8), ("c", 8, 12)]);
     let holders = ["a", "b"].map(name);
     let endpoints = Endpoints { holders: &holders, used: &[] };
-    let at = Point { layer: 4, position: 40, count: 1 };
+    let at = InterruptedStep { layer: 4, position: 40, count: 1 };
     let Plan::Resume(transfers) = plan(&abc(), &new, at, endpoints, &cost(10)) else {
-        panic!("copies cost least");
+        panic!("copying must be cheaper");
     };
     let tokens: Vec<u32> = transfers.iter().map(|transfer| transfer.tokens).collect();
     assert_eq!(tokens, [41, 40]);
 }
 
-/// A copy that goes wrong falls back to the tokens.
+/// A failed copy leads to a rebuild from the tokens.
 #[test_case(Some(Ok(())), 0 => (name("x"), 1); "done")]
 #[test_case(Some(Err(Failure::NoCache)), 0 => (name("a"), 2); "refused")]
 #[test_case(Some(Ok(())), 1 => (name("a"), 2); "wrong count")]
 #[test_case(None, 0 => (name("a"), 2); "lost")]
 fn copy_ends(result: Option<Result<(), Failure>>, extra: u32) -> (Name, u32) {
-    let mut bench = Bench::new(9, 60_000, Share::default());
-    bench.answer_steps(4);
-    bench.fail(&Failure::Leaving, None);
-    bench.replace(chain(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)]), &["b"], 100);
-    let Some(Action::Import { from, to, label, .. }) = bench.actions.first().cloned() else {
-        panic!("no import: {:?}", bench.actions);
+    let mut harness = Harness::new(9, 60_000, Share::default());
+    harness.answer_steps(4);
+    harness.fail(&Failure::Leaving, None);
+    harness.replace(chain(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)]), &["b"], 100);
+    let Some(Action::Import { from, to, label, .. }) = harness.actions.first().cloned() else {
+        panic!("no import: {:?}", harness.actions);
     };
     assert_eq!((from, to.clone(), label.count), (name("b"), name("x"), PROMPT));
     let label = Label { count: label.count + extra, ..label };
     if let Some(result) = result {
-        bench.input(|m, ctx| m.on_import(ctx, &to, &label, result.as_ref().copied()));
+        harness.input(|m, ctx| m.on_import(ctx, &to, &label, result.as_ref().copied()));
     }
-    if bench.actions.is_empty() || !matches!(bench.actions.last(), Some(Action::Send { .. })) {
-        bench.wait();
+    if harness.actions.is_empty() || !matches!(harness.actions.last(), Some(Action::Send { .. })) {
+        harness.wait();
     }
-    let (endpoint, step) = bench.sent();
+    let (endpoint, step) = harness.sent();
     (endpoint, step.label.attempt)
 }
 
 #[test_case(4; "first decode step")]
 #[test_case(22; "observed decode step")]
 fn silent_stage_is_replaced_within_a_second(steps: usize) {
-    let mut bench = Bench::new(90, 60_000, Share::default());
-    bench.answer_steps(steps);
-    let silent = bench.now;
-    bench.wait();
-    assert!(bench.scope().is_some(), "{:?}", bench.actions);
-    bench.replace(chain(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)]), &[], 100);
-    assert_eq!(bench.sent().1.label.attempt, 2);
-    bench.answer_steps(3);
-    assert!(matches!(bench.actions.first(), Some(Action::Emit(_))));
-    assert!(bench.now.since(silent) <= ms(1_000), "{:?}", bench.now.since(silent));
+    let mut harness = Harness::new(90, 60_000, Share::default());
+    harness.answer_steps(steps);
+    let silent = harness.now;
+    harness.wait();
+    assert!(harness.scope().is_some(), "{:?}", harness.actions);
+    harness.replace(chain(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)]), &[], 100);
+    assert_eq!(harness.sent().1.label.attempt, 2);
+    harness.answer_steps(3);
+    assert!(matches!(harness.actions.first(), Some(Action::Emit(_))));
+    assert!(harness.now.since(silent) <= ms(1_000), "{:?}", harness.now.since(silent));
 }
 
 #[test]
-fn empty_budget_gives_the_answer_at_once() {
+fn empty_budget_fails_immediately() {
     let share = Share { per_request: 0.1, per_second: 2.0, burst: 0.5 };
-    let mut bench = Bench::new(9, 60_000, share);
-    bench.fail(&Failure::Overloaded, None);
+    let mut harness = Harness::new(9, 60_000, share);
+    harness.fail(&Failure::Overloaded, None);
     let retry_after = Some(ms(250));
     let (code, effect) = (Code::RetryBudget, Effect::NotRun);
-    assert_eq!(bench.outcome(), Some(&Outcome::Failed { code, effect, retry_after }));
-    bench.input(Machine::on_time);
-    assert!(bench.actions.is_empty());
+    assert_eq!(harness.outcome(), Some(&Outcome::Failed { code, effect, retry_after }));
+    harness.input(Machine::on_time);
+    assert!(harness.actions.is_empty());
 }
 
 #[test]
 fn short_retry_after_is_waited_for() {
-    let mut bench = Bench::new(9, 60_000, Share::default());
-    bench.fail(&Failure::Overloaded, Some(ms(60)));
-    assert!(bench.machine.next_deadline() >= Some(Instant::from_millis(60)));
+    let mut harness = Harness::new(9, 60_000, Share::default());
+    harness.fail(&Failure::Overloaded, Some(ms(60)));
+    assert!(harness.machine.next_deadline() >= Some(Instant::from_millis(60)));
 }
 
 #[test]
 fn long_retry_after_moves_the_request_and_is_kept() {
-    let mut bench = Bench::new(9, 60_000, Share::default());
-    bench.fail(&Failure::Overloaded, Some(ms(5_000)));
-    bench.wait();
-    assert_eq!(bench.scope(), Some(Scope::Whole));
-    bench.now = Instant::from_millis(4_900);
-    bench.replace(abc(), &[], 100);
-    assert!(!bench.actions.iter().any(|action| matches!(action, Action::Send { .. })));
+    let mut harness = Harness::new(9, 60_000, Share::default());
+    harness.fail(&Failure::Overloaded, Some(ms(5_000)));
+    harness.wait();
+    assert_eq!(harness.scope(), Some(Scope::Whole));
+    harness.now = Instant::from_millis(4_900);
+    harness.replace(abc(), &[], 100);
+    assert!(!harness.actions.iter().any(|action| matches!(action, Action::Send { .. })));
 }
 
 #[test]
-fn request_out_of_time_is_given_up_at_once() {
+fn request_out_of_time_fails_immediately() {
     let (code, effect) = (Code::OutOfTime, Effect::NotRun);
     let failed = Outcome::Failed { code, effect, retry_after: None };
-    assert_eq!(Bench::new(9, 30, Share::default()).outcome(), Some(&failed));
-    let mut bench = Bench::new(9, 120, Share::default());
-    bench.fail(&Failure::Overloaded, Some(ms(90)));
-    assert_eq!(bench.outcome(), Some(&failed));
+    assert_eq!(Harness::new(9, 30, Share::default()).outcome(), Some(&failed));
+    let mut harness = Harness::new(9, 120, Share::default());
+    harness.fail(&Failure::Overloaded, Some(ms(90)));
+    assert_eq!(harness.outcome(), Some(&failed));
 }
 
 #[test]
 fn sent_step_without_answer_is_unknown() {
-    let mut bench = Bench::new(9, 100, Share::default());
-    bench.now = Instant::from_millis(100);
-    bench.input(Machine::on_time);
+    let mut harness = Harness::new(9, 100, Share::default());
+    harness.now = Instant::from_millis(100);
+    harness.input(Machine::on_time);
     let effect = Effect::Unknown;
-    assert_eq!(bench.outcome(), Some(&Outcome::DeadlineExceeded { effect }));
+    assert_eq!(harness.outcome(), Some(&Outcome::DeadlineExceeded { effect }));
 }
 
 #[test]
@@ -363,42 +364,43 @@
     }
 }
 
-/// Tokens that engines run for 2,000 requests, over those of a quiet system,
-/// when every request loses each of its stages with probability 1/3 in the
-/// middle of its answer and replacements come from the same endpoints.
+/// Ratio of the tokens that engines run for 2,000 requests to those of a system
+/// without faults, when every request loses each of its stages with probability
+/// 1/3 in the middle of its completion and replacements come from the same
+/// endpoints.
 fn load_after_loss(share: Share) -> f64 {
     let mut rng = Pcg64Mcg::seed_from_u64(11);
     let mut budget = Budget::new(share, Instant::ZERO);
-    let (mut ran, mut quiet) = (0, 0);
+    let (mut ran, mut baseline) = (0, 0);
     for request in 0..2_000 {
-        let mut bench = Bench::new(4, 60_000, share);
+        let mut harness = Harness::new(4, 60_000, share);
         budget.on_request(Instant::from_millis(request));
-        bench.budget = budget.clone();
-        quiet += 3 * (PROMPT + 3);
-        bench.now = Instant::from_millis(request);
-        while bench.outcome().is_none() {
-            if bench.scope().is_some() {
+        harness.budget = budget.clone();
+        baseline += 3 * (PROMPT + 3);
+        harness.now = Instant::from_millis(request);
+        while harness.outcome().is_none() {
+            if harness.scope().is_some() {
                 let range = |at| format!("{at}{}", rng.random_range(0..9_999));
                 let [a, b, c] = ["a", "b", "c"].map(range);
-                bench.replace(chain(&[(&a, 0, 4), (&b, 4, 8), (&c, 8, 12)]), &[], 1);
-            } else if !matches!(bench.actions.last(), Some(Action::Send { .. })) {
-                bench.wait();
+                harness.replace(chain(&[(&a, 0, 4), (&b, 4, 8), (&c, 8, 12)]), &[], 1);
+            } else if !matches!(harness.actions.last(), Some(Action::Send { .. })) {
+                harness.wait();
             } else {
-                let label = bench.sent().1.label;
+                let label = harness.sent().1.label;
                 ran += label.count;
                 let lost = label.position == PROMPT + 1 && rng.random_bool(1.0 / 3.0);
-                if lost { bench.fail(&Failure::Silent(ms(1)), None) } else { bench.answer() }
+                if lost { harness.fail(&Failure::Silent(ms(1)), None) } else { harness.answer() }
             }
         }
-        budget = bench.budget;
+        budget = harness.budget;
     }
-    f64::from(ran) / f64::from(quiet)
+    f64::from(ran) / f64::from(baseline)
 }
 
 #[test]
 fn loss_of_a_third_multiplies_load_by_the_budget_at_most() {
     let share = Share { per_request: 0.2, per_second: 1.0, burst: 10.0 };
-    // The saved burst and two seconds of the minimum rate come on top.
+    // The accumulated burst and two seconds of the minimum rate are added.
     let bound = 1.0 + share.per_request + (share.burst + 2.0 * share.per_second) / 2_000.0;
     let load = load_after_loss(share);
     let unbounded = load_after_loss(Share { burst: 1e9, ..share });
--- a/mimosashift/tests/pipeline_faults/engine.rs
+++ b/mimosashift/tests/pipeline_faults/engine.rs
@@ -13,7 +13,7 @@
     (x ^ (x >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ (x >> 32)
 }
 
-/// Runs one layer for one token: the output depends on every earlier token.
+/// Runs one layer for one token; the output depends on every earlier token.
 pub fn layer(kv: &mut u64, layer: u16, hidden: u64) -> u64 {
     *kv = mix(*kv, mix(u64::from(layer), hidden));
     mix(hidden, *kv)
@@ -23,7 +23,7 @@
     u32::try_from(hidden % 50_000).unwrap()
 }
 
-/// The whole answer, computed without stages.
+/// The expected completion, computed without stages.
 pub fn oracle(prompt: &[u32]) -> Vec<u32> {
     let (mut kv, mut answer, mut inputs) = ([0; 12], Vec::new(), prompt.to_vec());
     while answer.len() < TOKENS as usize {
@@ -44,12 +44,12 @@
 #[derive(Default)]
 pub struct Engine {
     pub caches: HashMap<(u32, Layers), Cache>,
-    pub newest: u32,
+    pub latest_attempt: u32,
     pub released: u32,
     pub ran: u32,
     pub down_since: Option<Instant>,
     pub leaving: bool,
-    /// When each kind of fault ends here.
+    /// When each kind of fault ends at this engine.
     pub until: BTreeMap<Fault, Instant>,
 }
 
@@ -65,7 +65,7 @@
     LoseReplies,
     Reorder,
     Duplicate,
-    Lie,
+    Mislabel,
 }
 
 pub const FAULTS: [Fault; 11] = [
@@ -79,7 +79,7 @@
     Fault::LoseReplies,
     Fault::Reorder,
     Fault::Duplicate,
-    Fault::Lie,
+    Fault::Mislabel,
 ];
 
 impl Engine {
@@ -95,13 +95,13 @@
         if self.has(Fault::Overload, now) {
             return Err(Failure::Overloaded);
         }
-        if label.attempt < self.newest || label.attempt <= self.released {
+        if label.attempt < self.latest_attempt || label.attempt <= self.released {
             return Err(Failure::Refused("old attempt".to_owned()));
         }
         let key = (label.attempt, label.layers);
         if label.position == 0 {
             self.caches.retain(|(attempt, _), _| *attempt >= label.attempt);
-            self.newest = label.attempt;
+            self.latest_attempt = label.attempt;
         }
         let cache = match self.caches.get_mut(&key) {
             Some(cache) => cache,
@@ -119,7 +119,7 @@
                 words.map(u64::from_le_bytes).collect()
             }
         };
-        assert_eq!(inputs.len(), label.count as usize, "input does not fit its label");
+        assert_eq!(inputs.len(), label.count as usize, "input does not match its label");
         let mut outputs = Vec::new();
         for mut hidden in inputs {
             let empty = vec![0; usize::from(label.layers.count())];
@@ -138,10 +138,10 @@
 
     /// The cache of some layers for the first tokens.
     pub fn export(&self, label: &Label) -> Option<Cache> {
-        let fits = |(attempt, held): &&(u32, Layers)| {
+        let matches = |(attempt, held): &&(u32, Layers)| {
             *attempt == label.attempt && held.contains(label.layers)
         };
-        let held = self.caches.keys().find(fits)?;
+        let held = self.caches.keys().find(matches)?;
         let first = usize::from(label.layers.start() - held.1.start());
         let layers = first..first + usize::from(label.layers.count());
         let tokens = self.caches[held].get(..label.count as usize)?;
--- a/mimosashift/tests/pipeline_faults/main.rs
+++ b/mimosashift/tests/pipeline_faults/main.rs
@@ -1,4 +1,4 @@
-//! Drives the pipeline machine against fake engines under seeded faults.
+//! Simulation of the pipeline machine with fake engines and seeded faults.
 
 mod engine;
 mod world;
@@ -7,7 +7,7 @@
 
 use mimosashift::engine::RequestId;
 use mimosashift::pipeline::retry::{Budget, Share};
-use mimosashift::pipeline::{Context, Effect, Hedge, Limits, Outcome, Request};
+use mimosashift::pipeline::{Context, Effect, HedgedRequest, Limits, Outcome, Request};
 use mimosashift::time::Instant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -16,14 +16,14 @@
 use engine::{FAULTS, Fault, oracle};
 use world::{Budgets, ENDPOINTS, Event, Mutant, RANGES, REPLICAS, World, chain, cost, ms};
 
-/// Tokens of an answer.
+/// Tokens of a completion.
 const TOKENS: u32 = 16;
-/// Most events of one request; more means that it never ends.
+/// Maximum events of one request; more means that the request never ends.
 const MAX_EVENTS: usize = 100_000;
 
-/// What the seeds of a run came to.
+/// Results of the seeds of a run.
 #[derive(Debug, Default)]
-struct Tally {
+struct Stats {
     completed: u32,
     recovered: u32,
     failed: u32,
@@ -38,29 +38,29 @@
     violations: Vec<String>,
 }
 
-/// One request and what happens to it.
+/// One request and the faults that affect it.
 struct Schedule {
     prompt: Vec<u32>,
     first: Vec<usize>,
     deadline: Instant,
-    /// Whether one endpoint of each range stays free of faults, and there is
-    /// time: such a request must complete.
-    safe: bool,
+    /// Whether the request must complete: one endpoint of each range stays free
+    /// of faults, and the deadline leaves enough time.
+    must_complete: bool,
     burst: f64,
-    /// When, where, what and for how long.
+    /// Start, endpoint, kind and duration of each fault.
     faults: Vec<(Duration, usize, Fault, Duration)>,
     cancel: Option<Duration>,
     hedge: Option<Duration>,
 }
 
 impl Schedule {
-    fn quiet(rng: &mut Pcg64Mcg) -> Self {
+    fn without_faults(rng: &mut Pcg64Mcg) -> Self {
         let tokens = rng.random_range(1..12);
         Self {
             prompt: (0..tokens).map(|_| rng.random_range(0..999)).collect(),
             first: (0..RANGES.len()).map(|r| r * REPLICAS + rng.random_range(0..3)).collect(),
             deadline: Instant::from_millis(30_000),
-            safe: true,
+            must_complete: true,
             burst: 1_000.0,
             faults: Vec::new(),
             cancel: None,
@@ -69,38 +69,38 @@
     }
 
     fn random(rng: &mut Pcg64Mcg) -> Self {
-        let mut schedule = Self::quiet(rng);
-        schedule.safe = rng.random_bool(0.7);
+        let mut schedule = Self::without_faults(rng);
+        schedule.must_complete = rng.random_bool(0.7);
         let delay = ms(rng.random_range(0..30));
         schedule.hedge = rng.random_bool(0.5).then_some(delay);
         for _ in 0..rng.random_range(0..12) {
             let at = rng.random_range(0..ENDPOINTS);
             let fault = FAULTS[rng.random_range(0..FAULTS.len())];
-            let (after, lasts) = (rng.random_range(0..250), rng.random_range(5..1_500));
-            if !schedule.safe || at % REPLICAS != 0 {
-                schedule.faults.push((ms(after), at, fault, ms(lasts)));
+            let (after, duration) = (rng.random_range(0..250), rng.random_range(5..1_500));
+            if !schedule.must_complete || at % REPLICAS != 0 {
+                schedule.faults.push((ms(after), at, fault, ms(duration)));
             }
         }
-        if !schedule.safe {
+        if !schedule.must_complete {
             schedule.deadline = Instant::from_millis(rng.random_range(10..3_000));
             let after = ms(rng.random_range(0..500));
             schedule.cancel = rng.random_bool(0.1).then_some(after);
             if rng.random_bool(0.3) {
-                schedule.storm(rng);
+                schedule.add_initial_faults(rng);
             }
         }
         schedule
     }
 
-    /// Faults from the first step on and few retries, so that some requests
-    /// end before anything ran.
-    fn storm(&mut self, rng: &mut Pcg64Mcg) {
+    /// Adds faults from the first step on and allows few retries, so that some
+    /// requests end before any step has run.
+    fn add_initial_faults(&mut self, rng: &mut Pcg64Mcg) {
         self.burst = 2.0;
         for at in 0..ENDPOINTS {
             let fault = FAULTS[rng.random_range(0..FAULTS.len())];
-            let lasts = ms(rng.random_range(5..3_000));
-            self.faults.push((Duration::ZERO, at, fault, lasts));
-            self.faults.push((Duration::ZERO, at, Fault::Duplicate, lasts));
+            let duration = ms(rng.random_range(5..3_000));
+            self.faults.push((Duration::ZERO, at, fault, duration));
+            self.faults.push((Duration::ZERO, at, Fault::Duplicate, duration));
         }
     }
 
@@ -117,29 +117,29 @@
     }
 }
 
-fn run(seed: u64, mutant: Mutant, tally: &mut Tally) {
+fn run(seed: u64, mutant: Mutant, stats: &mut Stats) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let schedule = Schedule::random(&mut rng);
-    let (world, hedge) = play(&schedule, mutant, rng);
-    judge(seed, &schedule, &hedge, world, tally);
+    let (world, hedge) = simulate(&schedule, mutant, rng);
+    check_result(seed, &schedule, &hedge, world, stats);
 }
 
-/// Plays a schedule until nothing is left in flight.
-fn play(schedule: &Schedule, mutant: Mutant, rng: Pcg64Mcg) -> (World, Hedge) {
+/// Runs a schedule until nothing is left in flight.
+fn simulate(schedule: &Schedule, mutant: Mutant, rng: Pcg64Mcg) -> (World, HedgedRequest) {
     let first = schedule.first.iter().copied().zip(RANGES).collect();
     let mut world = World::new(oracle(&schedule.prompt), mutant, rng);
-    for (after, at, fault, lasts) in &schedule.faults {
-        world.later(*after, Event::Fault(*at, *fault, *lasts));
+    for (after, at, fault, duration) in &schedule.faults {
+        world.enqueue(*after, Event::Fault(*at, *fault, *duration));
     }
     if let Some(after) = schedule.cancel {
-        world.later(after, Event::Cancel);
+        world.enqueue(after, Event::Cancel);
     }
     let share = Share { burst: schedule.burst, ..Share::default() };
     let hedges = Budget::new(Share { burst: 10.0, ..share }, Instant::ZERO);
     let mut budgets = Budgets { retries: Budget::new(share, Instant::ZERO), hedges };
     let mut ctx =
         Context { now: Instant::ZERO, rng: &mut Pcg64Mcg::new(1), budget: &mut budgets.retries };
-    let (mut hedge, actions) = Hedge::start(
+    let (mut hedge, actions) = HedgedRequest::start(
         &mut ctx,
         schedule.request(),
         chain(first),
@@ -170,15 +170,21 @@
     (world, hedge)
 }
 
-fn judge(seed: u64, schedule: &Schedule, hedge: &Hedge, mut world: World, tally: &mut Tally) {
-    tally.dropped += hedge.total_dropped();
-    tally.hedged += u32::from(hedge.hedged());
-    tally.copied += world.copied;
-    tally.rebuilt += world.rebuilt;
+fn check_result(
+    seed: u64,
+    schedule: &Schedule,
+    hedge: &HedgedRequest,
+    mut world: World,
+    stats: &mut Stats,
+) {
+    stats.dropped += hedge.total_dropped();
+    stats.hedged += u32::from(hedge.hedged());
+    stats.copied += world.copied;
+    stats.rebuilt += world.rebuilt;
     let outcome = world.outcome.take();
     world.check(outcome.is_some(), "the request never ended");
     let Some((at, mut outcome)) = outcome else {
-        return tally.violations.push(format!("seed {seed}: never ended"));
+        return stats.violations.push(format!("seed {seed}: never ended"));
     };
     world.check(at <= schedule.deadline, "the end came after the deadline");
     if let (Mutant::ClaimNotRun, Outcome::Failed { effect, .. }) = (world.mutant, &mut outcome) {
@@ -190,26 +196,26 @@
     match outcome {
         Outcome::Complete => {
             world.check(world.emitted == world.expected, "complete, but not whole");
-            tally.completed += 1;
-            tally.recovered += u32::from(hedge.recovered() > 0);
+            stats.completed += 1;
+            stats.recovered += u32::from(hedge.recovered() > 0);
         }
-        Outcome::Cancelled => tally.cancelled += 1,
+        Outcome::Cancelled => stats.cancelled += 1,
         Outcome::Failed { effect, .. } | Outcome::DeadlineExceeded { effect } => {
             if effect == Effect::NotRun {
-                tally.not_run += 1;
+                stats.not_run += 1;
                 world.check(!ran, "said not run, but ran");
             }
             match outcome {
-                Outcome::Failed { .. } => tally.failed += 1,
-                _ => tally.deadline += 1,
+                Outcome::Failed { .. } => stats.failed += 1,
+                _ => stats.deadline += 1,
             }
-            if schedule.safe {
-                tally.lost += 1;
+            if schedule.must_complete {
+                stats.lost += 1;
                 world.check(false, "lost with an endpoint and time to spare");
             }
         }
     }
-    tally.violations.extend(world.violations.drain(..).map(|v| format!("seed {seed}: {v}")));
+    stats.violations.extend(world.violations.drain(..).map(|v| format!("seed {seed}: {v}")));
 }
 
 #[test_case(0; "seeds from 0")]
@@ -217,12 +223,12 @@
 #[test_case(10_000; "seeds from 10000")]
 #[test_case(15_000; "seeds from 15000")]
 fn invariants_hold_under_faults(first: u64) {
-    let mut tally = Tally::default();
-    (first..first + 5_000).for_each(|seed| run(seed, Mutant::None, &mut tally));
-    eprintln!("{tally:?}");
-    assert!(tally.violations.is_empty(), "{:#?}", &tally.violations);
-    assert_eq!(tally.lost, 0);
-    assert!(tally.recovered > 1_000 && tally.not_run > 10 && tally.dropped > 1_000);
+    let mut stats = Stats::default();
+    (first..first + 5_000).for_each(|seed| run(seed, Mutant::None, &mut stats));
+    eprintln!("{stats:?}");
+    assert!(stats.violations.is_empty(), "{:#?}", &stats.violations);
+    assert_eq!(stats.lost, 0);
+    assert!(stats.recovered > 1_000 && stats.not_run > 10 && stats.dropped > 1_000);
 }
 
 #[test_case(Mutant::AnyRequest, "a wrong token"; "ledger ignores request")]
@@ -235,12 +241,12 @@
 #[test_case(Mutant::KeepCache, "left with a cache"; "cache not released")]
 #[test_case(Mutant::IgnoreDeadline, "after the deadline"; "deadline ignored")]
 fn checks_find_a_faulty_machine(mutant: Mutant, violation: &str) {
-    let mut tally = Tally::default();
-    (0..3_000).for_each(|seed| run(seed, mutant, &mut tally));
-    assert!(tally.violations.iter().any(|found| found.contains(violation)), "{tally:?}");
+    let mut stats = Stats::default();
+    (0..3_000).for_each(|seed| run(seed, mutant, &mut stats));
+    assert!(stats.violations.iter().any(|found| found.contains(violation)), "{stats:?}");
 }
 
-/// A single lost stage holds the answer up for a second at most.
+/// A single lost stage delays the next token by one second at most.
 #[test_case(Fault::Kill; "killed")]
 #[test_case(Fault::Restart; "restarted")]
 #[test_case(Fault::Pause; "paused")]
@@ -257,11 +263,11 @@
 /// The longest time between two tokens.
 fn pause(seed: u64, fault: Fault) -> Duration {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut schedule = Schedule::quiet(&mut rng);
+    let mut schedule = Schedule::without_faults(&mut rng);
     let at = schedule.first[rng.random_range(0..RANGES.len())];
     let after = ms(rng.random_range(40..120));
     schedule.faults.push((after, at, fault, ms(60_000)));
-    let (world, _) = play(&schedule, Mutant::None, rng);
+    let (world, _) = simulate(&schedule, Mutant::None, rng);
     assert_eq!(world.emitted, world.expected, "seed {seed}");
     world.longest_pause
 }
@@ -281,13 +287,13 @@
 
 fn first_token(seed: u64, hedge: Option<Duration>) -> Duration {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut schedule = Schedule::quiet(&mut rng);
+    let mut schedule = Schedule::without_faults(&mut rng);
     schedule.hedge = hedge;
     let at = schedule.first[rng.random_range(0..RANGES.len())];
     if rng.random_bool(0.1) {
         schedule.faults.push((Duration::ZERO, at, Fault::Delay, ms(2_000)));
     }
-    let (world, _) = play(&schedule, Mutant::None, rng);
+    let (world, _) = simulate(&schedule, Mutant::None, rng);
     assert_eq!(world.emitted, world.expected, "seed {seed}");
     world.first_token.expect("the answer is whole").since(Instant::ZERO)
 }
--- a/mimosashift/tests/pipeline_faults/world.rs
+++ b/mimosashift/tests/pipeline_faults/world.rs
@@ -1,4 +1,4 @@
-//! Engines, links and the chooser of chains in virtual time.
+//! Simulation of engines, links and the choice of chains in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 use mimosashift::engine::{Failure, Label, Output, Reply, RequestId, Step};
 use mimosashift::pipeline::recovery::Cost;
 use mimosashift::pipeline::retry::Budget;
-use mimosashift::pipeline::{Action, Actions, Context, Hedge, Outcome, Replacement, Scope};
+use mimosashift::pipeline::{Action, Actions, Context, HedgedRequest, Outcome, Replacement, Scope};
 use mimosashift::resource::{Layers, Name};
 use mimosashift::route::{Chain, Stage};
 use mimosashift::time::Instant;
@@ -19,8 +19,8 @@
 pub const RANGES: [(u16, u16); 3] = [(0, 4), (4, 8), (8, 12)];
 pub const REPLICAS: usize = 3;
 pub const ENDPOINTS: usize = RANGES.len() * REPLICAS;
-/// Time after which the chooser knows that an endpoint is down.
-pub const LIST_LAG: Duration = Duration::from_millis(300);
+/// Time after which the choice of chains excludes an endpoint that is down.
+pub const DOWN_DETECTION_DELAY: Duration = Duration::from_millis(300);
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
@@ -36,7 +36,7 @@
     Timer,
 }
 
-/// A deliberate fault of the machine, to show that the checks find it.
+/// A mutation of the machine, to verify that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
     None,
@@ -124,7 +124,7 @@
         }
     }
 
-    pub fn later(&mut self, after: Duration, event: Event) {
+    pub fn enqueue(&mut self, after: Duration, event: Event) {
         self.sequence += 1;
         self.events.insert((self.now + after, self.sequence), event);
     }
@@ -166,19 +166,19 @@
                     self.rebuilt += u32::from(rebuilt && !self.emitted.is_empty());
                     let to = index(&endpoint);
                     let delay = self.link(to);
-                    self.later(delay, Event::Arrive { to, step, tries: 0 });
+                    self.enqueue(delay, Event::Arrive { to, step, tries: 0 });
                 }
                 Action::Import { from, to, label, .. } => {
                     let (from, to) = (index(&from), index(&to));
                     let delay = self.link(from) + self.link(to);
-                    self.later(delay, Event::Copy { from, to, label });
+                    self.enqueue(delay, Event::Copy { from, to, label });
                 }
                 Action::Emit(token) => self.emit(token),
                 Action::NeedChain { avoid, scope } => {
-                    self.later(ms(1), Event::Choose { avoid: avoid.into_vec(), scope });
+                    self.enqueue(ms(1), Event::Choose { avoid: avoid.into_vec(), scope });
                 }
                 Action::NeedHedge { avoid } => {
-                    self.later(ms(1), Event::Hedge { avoid: avoid.into_vec() });
+                    self.enqueue(ms(1), Event::Hedge { avoid: avoid.into_vec() });
                 }
                 Action::Finish(outcome) => self.outcome = Some((self.now, outcome)),
                 Action::CancelEngine { .. } => {}
@@ -198,10 +198,10 @@
         self.check(self.expected.starts_with(&self.emitted), "a wrong token");
     }
 
-    pub fn fault(&mut self, at: usize, fault: Fault, lasts: Duration) {
+    pub fn fault(&mut self, at: usize, fault: Fault, duration: Duration) {
         let now = self.now;
         let engine = &mut self.engines[at];
-        engine.until.insert(fault, now + lasts);
+        engine.until.insert(fault, now + duration);
         match fault {
             Fault::Kill | Fault::Restart => {
                 engine.caches.clear();
@@ -229,12 +229,12 @@
                 _ if self.rng.random_bool(0.5) => return,
                 _ => Err(Failure::Silent(ms(1))),
             };
-            return self.later(ms(1), Event::Answer { from: to, label, result });
+            return self.enqueue(ms(1), Event::Answer { from: to, label, result });
         }
         let engine = &mut self.engines[to];
         if engine.has(Fault::Pause, now) {
             let rest = engine.until[&Fault::Pause].since(now);
-            return self.later(rest, Event::Arrive { to, step, tries: tries + 1 });
+            return self.enqueue(rest, Event::Arrive { to, step, tries: tries + 1 });
         }
         if engine.has(Fault::LoseRequests, now) {
             return;
@@ -243,19 +243,21 @@
         if engine.has(Fault::LoseReplies, now) {
             return;
         }
-        let (duplicate, lie) = (engine.has(Fault::Duplicate, now), engine.has(Fault::Lie, now));
-        let (label, result) = if lie { self.lie(label, result) } else { (label, result) };
+        let (duplicate, mislabel) =
+            (engine.has(Fault::Duplicate, now), engine.has(Fault::Mislabel, now));
+        let (label, result) = if mislabel { self.mislabel(label, result) } else { (label, result) };
         let delay = self.link(to) + ms(1);
         if duplicate {
             let again = delay + ms(self.rng.random_range(0..200));
             let (label, result) = (label.clone(), result.clone());
-            self.later(again, Event::Answer { from: to, label, result });
+            self.enqueue(again, Event::Answer { from: to, label, result });
         }
-        self.later(delay, Event::Answer { from: to, label, result });
+        self.enqueue(delay, Event::Answer { from: to, label, result });
     }
 
-    /// Other work's answer: one field of the label differs, and the output.
-    fn lie(
+    /// A reply to another step: one field of the label differs, and so does the
+    /// output.
+    fn mislabel(
         &mut self,
         mut label: Label,
         result: Result<Output, Failure>,
@@ -283,18 +285,18 @@
         }
         let cache = self.engines[from].export(&label);
         let result = match cache {
-            Some(cache) if !self.down(from) && self.takes(to, label.attempt) => {
+            Some(cache) if !self.down(from) && self.accepts_cache(to, label.attempt) => {
                 self.engines[to].caches.insert((label.attempt, label.layers), cache);
                 self.copied += 1;
                 Ok(())
             }
             _ => Err(Failure::NoCache),
         };
-        if self.engines[to].has(Fault::Lie, self.now) {
+        if self.engines[to].has(Fault::Mislabel, self.now) {
             label.count += 1;
         }
         let delay = self.link(to) + ms(3);
-        self.later(delay, Event::Copied { to, label, result });
+        self.enqueue(delay, Event::Copied { to, label, result });
     }
 
     fn choose(&mut self, old: &Chain, avoid: &[Name], scope: Scope) -> Option<Replacement> {
@@ -327,20 +329,20 @@
         Some(Replacement { chain: chain(stages), holders, cost: cost(kv_bytes) })
     }
 
-    /// Whether an endpoint takes a cache of this attempt.
-    fn takes(&mut self, to: usize, attempt: u32) -> bool {
+    /// Whether an endpoint accepts a cache of this attempt.
+    fn accepts_cache(&mut self, to: usize, attempt: u32) -> bool {
         let engine = &self.engines[to];
-        let current = attempt >= engine.newest && attempt > engine.released;
+        let current = attempt >= engine.latest_attempt && attempt > engine.released;
         current && !self.down(to)
     }
 
     fn known_down(&mut self, at: usize) -> bool {
         let down = self.down(at);
         let since = self.engines[at].down_since;
-        down && since.is_some_and(|since| self.now.since(since) > LIST_LAG)
+        down && since.is_some_and(|since| self.now.since(since) > DOWN_DETECTION_DELAY)
     }
 
-    /// The label as a ledger without one of its comparisons would see it.
+    /// The label as a reply filter that lacks one comparison would see it.
     fn mutate(&self, mut label: Label) -> Label {
         let Some(expected) = &self.in_flight else { return label };
         match self.mutant {
@@ -354,11 +356,11 @@
         label
     }
 
-    pub fn handle(&mut self, event: Event, hedge: &mut Hedge, budgets: &mut Budgets) {
+    pub fn handle(&mut self, event: Event, hedge: &mut HedgedRequest, budgets: &mut Budgets) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.rng.random());
         let mut ctx = Context { now: self.now, rng: &mut rng, budget: &mut budgets.retries };
         let actions = match event {
-            Event::Fault(at, fault, lasts) => return self.fault(at, fault, lasts),
+            Event::Fault(at, fault, duration) => return self.fault(at, fault, duration),
             Event::Arrive { to, step, tries } => return self.arrive(to, step, tries),
             Event::Copy { from, to, label } => return self.copy(from, to, label),
             Event::Answer { from, label, result: Ok(output) } => {
--- a/mimosashift/tests/pipeline_hedge.rs
+++ b/mimosashift/tests/pipeline_hedge.rs
@@ -1,4 +1,4 @@
-//! Checks of the second chain for a late first token.
+//! Tests of request hedging: a second chain when the first token is late.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 use mimosashift::pipeline::recovery::Cost;
 use mimosashift::pipeline::retry::{Budget, Share};
 use mimosashift::pipeline::{
-    Action, Actions, Context, Effect, Hedge, Limits, Outcome, Reason, Replacement, Request,
+    Action, Actions, Context, DropReason, Effect, HedgedRequest, Limits, Outcome, Replacement,
+    Request,
 };
 use mimosashift::resource::{Layers, Name};
 use mimosashift::route::{Chain, Stage};
@@ -37,19 +38,19 @@
     }
 }
 
-struct Bench {
+struct Harness {
     now: Instant,
     rng: Pcg64Mcg,
     retries: Budget,
     hedges: Budget,
-    hedge: Hedge,
+    hedge: HedgedRequest,
     /// Steps sent, in order.
     sent: Vec<(Name, Label)>,
     /// Actions of the latest input.
     actions: Actions,
 }
 
-impl Bench {
+impl Harness {
     fn new(retries: f64, hedges: f64) -> Self {
         let budget = |burst| {
             let share = Share { per_request: 0.0, per_second: 0.1, burst };
@@ -66,7 +67,7 @@
             adapter: None,
         };
         let mut ctx = Context { now: Instant::ZERO, rng: &mut rng, budget: &mut retries };
-        let (hedge, actions) = Hedge::start(
+        let (hedge, actions) = HedgedRequest::start(
             &mut ctx,
             request,
             chain("a", "b"),
@@ -75,10 +76,10 @@
             Some(DELAY),
         );
         let (now, hedges) = (Instant::ZERO, budget(hedges));
-        let mut bench =
+        let mut harness =
             Self { now, rng, retries, hedges, hedge, sent: Vec::new(), actions: Actions::new() };
-        bench.take(actions);
-        bench
+        harness.take(actions);
+        harness
     }
 
     fn take(&mut self, actions: Actions) {
@@ -90,7 +91,7 @@
         self.actions = actions;
     }
 
-    fn input(&mut self, input: impl FnOnce(&mut Hedge, &mut Context<'_>) -> Actions) {
+    fn input(&mut self, input: impl FnOnce(&mut HedgedRequest, &mut Context<'_>) -> Actions) {
         let mut ctx = Context { now: self.now, rng: &mut self.rng, budget: &mut self.retries };
         let actions = input(&mut self.hedge, &mut ctx);
         self.take(actions);
@@ -103,13 +104,13 @@
         self.take(actions);
     }
 
-    /// Lets the delay pass and offers a second chain.
-    fn offer(&mut self, first: &str, second: &str) {
+    /// Waits for the hedging delay and supplies a second chain.
+    fn supply_second_chain(&mut self, first: &str, second: &str) {
         self.wait();
         assert!(matches!(self.actions[..], [Action::NeedHedge { .. }]), "{:?}", self.actions);
         let chain = chain(first, second);
-        let found = Replacement { chain, holders: Default::default(), cost: cost() };
-        self.input(|hedge, ctx| hedge.on_hedge(ctx, Some(found)));
+        let replacement = Replacement { chain, holders: Default::default(), cost: cost() };
+        self.input(|hedge, ctx| hedge.on_hedge(ctx, Some(replacement)));
     }
 
     fn answer(&mut self, sent: usize, output: Output) {
@@ -133,83 +134,84 @@
 
 #[test]
 fn first_token_wins_and_the_loser_is_released() {
-    let mut bench = Bench::new(5.0, 1.0);
-    bench.offer("c", "d");
-    assert_ne!(bench.sent[0].1.attempt, bench.sent[1].1.attempt);
-    bench.answer(1, Output::Hidden(vec![0]));
-    bench.answer(2, Output::Token(7));
-    assert!(bench.actions.contains(&Action::Emit(7)));
-    assert_eq!(bench.released(), ["a"]);
-    bench.answer(0, Output::Hidden(vec![9]));
-    assert!(bench.actions.is_empty());
-    assert_eq!(bench.hedge.dropped(Reason::Attempt), 1);
-    bench.answer(3, Output::Hidden(vec![0]));
-    bench.answer(4, Output::Token(8));
-    assert!(bench.actions.contains(&Action::Finish(Outcome::Complete)));
-    assert_eq!(bench.hedge.emitted(), [7, 8]);
+    let mut harness = Harness::new(5.0, 1.0);
+    harness.supply_second_chain("c", "d");
+    assert_ne!(harness.sent[0].1.attempt, harness.sent[1].1.attempt);
+    harness.answer(1, Output::Hidden(vec![0]));
+    harness.answer(2, Output::Token(7));
+    assert!(harness.actions.contains(&Action::Emit(7)));
+    assert_eq!(harness.released(), ["a"]);
+    harness.answer(0, Output::Hidden(vec![9]));
+    assert!(harness.actions.is_empty());
+    assert_eq!(harness.hedge.dropped(DropReason::Attempt), 1);
+    harness.answer(3, Output::Hidden(vec![0]));
+    harness.answer(4, Output::Token(8));
+    assert!(harness.actions.contains(&Action::Finish(Outcome::Complete)));
+    assert_eq!(harness.hedge.emitted(), [7, 8]);
 }
 
 #[test]
 fn first_chain_wins_when_it_is_faster_after_all() {
-    let mut bench = Bench::new(5.0, 1.0);
-    bench.offer("c", "d");
-    bench.answer(0, Output::Hidden(vec![0]));
-    bench.answer(2, Output::Token(7));
-    assert_eq!(bench.released(), ["c"]);
+    let mut harness = Harness::new(5.0, 1.0);
+    harness.supply_second_chain("c", "d");
+    harness.answer(0, Output::Hidden(vec![0]));
+    harness.answer(2, Output::Token(7));
+    assert_eq!(harness.released(), ["c"]);
     // A rebuild must be a later attempt than the one released at "c".
-    let hedged = bench.sent[1].1.attempt;
-    bench.fail(3, &Failure::NoCache);
-    assert!(bench.sent[4].1.attempt > hedged);
+    let hedged = harness.sent[1].1.attempt;
+    harness.fail(3, &Failure::NoCache);
+    assert!(harness.sent[4].1.attempt > hedged);
 }
 
 #[test]
 fn empty_budget_starts_no_second_chain() {
-    let mut bench = Bench::new(5.0, 0.5);
-    bench.wait();
-    assert!(bench.actions.is_empty());
-    assert!(bench.hedge.next_deadline() > Some(Instant::ZERO + DELAY));
+    let mut harness = Harness::new(5.0, 0.5);
+    harness.wait();
+    assert!(harness.actions.is_empty());
+    assert!(harness.hedge.next_deadline() > Some(Instant::ZERO + DELAY));
 }
 
 #[test]
 fn chain_that_shares_an_endpoint_is_not_used() {
-    let mut bench = Bench::new(5.0, 1.0);
-    bench.offer("c", "b");
-    assert!(bench.actions.is_empty());
-    assert!(!bench.hedge.hedged());
+    let mut harness = Harness::new(5.0, 1.0);
+    harness.supply_second_chain("c", "b");
+    assert!(harness.actions.is_empty());
+    assert!(!harness.hedge.hedged());
 }
 
 #[test]
 fn lost_chain_leaves_the_other_one() {
-    let mut bench = Bench::new(5.0, 1.0);
-    bench.offer("c", "d");
-    bench.fail(0, &Failure::Unreachable(String::new()));
-    assert_eq!(bench.released(), ["a"]);
-    bench.answer(1, Output::Hidden(vec![0]));
-    bench.answer(2, Output::Token(7));
-    assert!(bench.actions.contains(&Action::Emit(7)));
+    let mut harness = Harness::new(5.0, 1.0);
+    harness.supply_second_chain("c", "d");
+    harness.fail(0, &Failure::Unreachable(String::new()));
+    assert_eq!(harness.released(), ["a"]);
+    harness.answer(1, Output::Hidden(vec![0]));
+    harness.answer(2, Output::Token(7));
+    assert!(harness.actions.contains(&Action::Emit(7)));
 }
 
 #[test]
 fn released_endpoint_gets_a_later_attempt() {
-    let mut bench = Bench::new(5.0, 1.0);
-    bench.offer("c", "d");
-    let released = bench.sent[1].1.attempt;
-    bench.answer(1, Output::Hidden(vec![0]));
-    bench.fail(2, &Failure::Unreachable(String::new()));
-    bench.answer(0, Output::Hidden(vec![0]));
-    bench.fail(3, &Failure::Unreachable(String::new()));
-    let found = Replacement { chain: chain("a", "c"), holders: Default::default(), cost: cost() };
-    bench.input(|hedge, ctx| hedge.on_chain(ctx, Some(found)));
-    assert!(bench.sent[4].1.attempt > released, "{:?}", bench.sent[4]);
+    let mut harness = Harness::new(5.0, 1.0);
+    harness.supply_second_chain("c", "d");
+    let released = harness.sent[1].1.attempt;
+    harness.answer(1, Output::Hidden(vec![0]));
+    harness.fail(2, &Failure::Unreachable(String::new()));
+    harness.answer(0, Output::Hidden(vec![0]));
+    harness.fail(3, &Failure::Unreachable(String::new()));
+    let replacement =
+        Replacement { chain: chain("a", "c"), holders: Default::default(), cost: cost() };
+    harness.input(|hedge, ctx| hedge.on_chain(ctx, Some(replacement)));
+    assert!(harness.sent[4].1.attempt > released, "{:?}", harness.sent[4]);
 }
 
 #[test]
 fn failure_covers_both_chains() {
-    let mut bench = Bench::new(1.0, 1.0);
-    bench.offer("c", "d");
-    bench.fail(0, &Failure::Silent(DELAY));
-    bench.fail(1, &Failure::Unreachable(String::new()));
-    let effects: Vec<Effect> = bench.actions.iter().filter_map(effect).collect();
+    let mut harness = Harness::new(1.0, 1.0);
+    harness.supply_second_chain("c", "d");
+    harness.fail(0, &Failure::Silent(DELAY));
+    harness.fail(1, &Failure::Unreachable(String::new()));
+    let effects: Vec<Effect> = harness.actions.iter().filter_map(effect).collect();
     assert_eq!(effects, [Effect::Unknown]);
 }
 
@@ -222,11 +224,11 @@
 
 #[test]
 fn cancellation_ends_both_chains_once() {
-    let mut bench = Bench::new(5.0, 1.0);
-    bench.offer("c", "d");
-    bench.input(|hedge, _| hedge.cancel());
-    assert_eq!(bench.released(), ["a", "c"]);
-    let ends = bench.actions.iter().filter(|action| matches!(action, Action::Finish(_)));
+    let mut harness = Harness::new(5.0, 1.0);
+    harness.supply_second_chain("c", "d");
+    harness.input(|hedge, _| hedge.cancel());
+    assert_eq!(harness.released(), ["a", "c"]);
+    let ends = harness.actions.iter().filter(|action| matches!(action, Action::Finish(_)));
     assert_eq!(ends.count(), 1);
-    assert!(bench.hedge.is_done());
+    assert!(harness.hedge.is_done());
 }
--- a/mimosashift/tests/posting.rs
+++ b/mimosashift/tests/posting.rs
@@ -1,4 +1,5 @@
-//! Claims, group commit, resolving, and the platform's budget and breaker.
+//! Tests of claims, group commit and claim resolution, and of the platform's
+//! budget and circuit breaker.
 
 #[path = "common/posting_sim.rs"]
 mod posting_sim;
@@ -41,18 +42,18 @@
     Row { key: key(text), revision: 7, value: entry.encode() }
 }
 
-/// Runs one try to its end with the given result of each send.
+/// Runs one attempt to its end, with the given result of each send.
 fn call(rows: &mut Rows, request: Request, delivery: &Delivery) -> Answer {
     let (mut machine, actions) = Machine::new(Settings::default(), request, NOW);
-    let mut todo: Vec<Action> = actions.into_iter().rev().collect();
+    let mut pending: Vec<Action> = actions.into_iter().rev().collect();
     let mut answers = Vec::new();
-    while let Some(action) = todo.pop() {
+    while let Some(action) = pending.pop() {
         match action {
             Action::Commit { transaction, .. } => {
                 let outcome = rows.commit(&transaction);
-                todo.extend(machine.committed(&outcome, NOW).into_iter().rev());
+                pending.extend(machine.committed(&outcome, NOW).into_iter().rev());
             }
-            Action::Send { .. } => todo.extend(machine.delivered(delivery.clone(), NOW)),
+            Action::Send { .. } => pending.extend(machine.delivered(delivery.clone(), NOW)),
             Action::Answer(answer) => answers.push(answer),
         }
     }
@@ -60,11 +61,11 @@
     answers.remove(0)
 }
 
-/// The reference: one process that never fails.
+/// Reference implementation: one process that never fails.
 #[derive(Default)]
-struct Naive(HashMap<Key, (Digest, Option<Reply>)>);
+struct Reference(HashMap<Key, (Digest, Option<Reply>)>);
 
-impl Naive {
+impl Reference {
     fn call(&mut self, request: &Request, delivery: &Delivery) -> Answer {
         let used = request.key.as_ref().and_then(|key| self.0.get(key));
         match used {
@@ -94,44 +95,45 @@
     })]
 
     #[test]
-    fn equals_naive(history in prop::collection::vec((0..4u8, 0..2u8, 0..3u8), 1..40)) {
-        let (mut rows, mut naive) = (Rows::default(), Naive::default());
-        for (nonce, (id, body, fate)) in history.into_iter().enumerate() {
+    fn matches_reference(history in prop::collection::vec((0..4u8, 0..2u8, 0..3u8), 1..40)) {
+        let (mut rows, mut reference) = (Rows::default(), Reference::default());
+        for (nonce, (id, body, result)) in history.into_iter().enumerate() {
             let request = Request {
                 key: (id > 0).then(|| key(&id.to_string())),
                 nonce: Nonce(nonce as u64),
                 digest: Digest::new("POST", "/", &[body]),
                 unix_ms: 0,
             };
-            let delivery = match fate {
+            let delivery = match result {
                 0 => Delivery::NotConnected,
                 1 => Delivery::Replied(reply(&nonce.to_be_bytes())),
                 _ => Delivery::Lost,
             };
-            let wanted = naive.call(&request, &delivery);
-            prop_assert_eq!(call(&mut rows, request, &delivery), wanted);
+            let expected = reference.call(&request, &delivery);
+            prop_assert_eq!(call(&mut rows, request, &delivery), expected);
         }
     }
 }
 
 #[test]
-fn fault_schedules_never_double() {
+fn fault_schedules_never_execute_twice() {
     let mut total = posting_sim::Counts::default();
     for seed in 0..5_000 {
         let counts = posting_sim::run(seed, true);
-        let broken = (counts.doubled, counts.false_not_run, counts.invented);
-        assert_eq!(broken, (0, 0, 0), "seed {seed}: {counts:?}");
+        let violations = (counts.executed_twice, counts.false_not_run, counts.unknown_reply);
+        assert_eq!(violations, (0, 0, 0), "seed {seed}: {counts:?}");
         total += counts;
     }
     eprintln!("{total:?}");
-    assert!(total.run * 10 > total.posted * 9, "most calls run: {total:?}");
-    assert!(total.unknown > 0 && total.refused > 0, "the faults were felt: {total:?}");
+    assert!(total.run * 10 > total.posted * 9, "too few calls run: {total:?}");
+    assert!(total.unknown > 0 && total.refused > 0, "the faults had no effect: {total:?}");
 }
 
 #[test]
-fn fault_schedules_show_a_shared_nonce() {
-    let doubled: u64 = (0..50).map(|seed| posting_sim::run(seed, false).doubled).sum();
-    assert!(doubled > 0);
+fn fault_schedules_reveal_a_shared_nonce() {
+    let executed_twice: u64 =
+        (0..50).map(|seed| posting_sim::run(seed, false).executed_twice).sum();
+    assert!(executed_twice > 0);
 }
 
 fn members(count: usize) -> Vec<Member<usize>> {
@@ -193,8 +195,7 @@
     assert!(rest.outcomes.iter().all(|(_, outcome)| *outcome == Outcome::Done(9)));
 }
 
-/// Names each refusal of a repeated batch; none proves that the first commit
-/// failed.
+/// Lists refusals of a retried batch; none proves that the first commit failed.
 macro_rules! stays_unknown {
     ($($case:ident: $refusal:expr;)*) => {$(
         #[test]
@@ -228,8 +229,8 @@
     assert_eq!(queue.take(later), None);
 }
 
-/// One of 370 routers that share 300 writes a second, offered its part of
-/// 1,000 postings a second: two writes each.
+/// One of 370 routers that share 300 writes a second, with its share of 1,000
+/// postings a second. Each posting takes two writes.
 #[test]
 fn batches_grow_when_the_budget_is_short() {
     const ROUTERS: u32 = 370;
@@ -321,7 +322,7 @@
     let old = u64::try_from(resolve::MIN_RESOLVE_AGE.as_millis()).unwrap();
     let claimed = row("k", State::Claimed);
     let resolve = |row, at| resolve::resolve(row, Verdict::NotRun, audit.clone(), at);
-    assert!(matches!(resolve(&claimed, old - 1), Err(resolve::Error::TooYoung(..))));
+    assert!(matches!(resolve(&claimed, old - 1), Err(resolve::Error::TooRecent(..))));
     let transaction = resolve(&claimed, old).unwrap();
     assert_eq!(transaction.checks, [Check::Revision(key("k"), 7)]);
     assert_eq!(
@@ -329,7 +330,7 @@
         [Write::Put(key("k"), row("k", State::Released).value), audit.clone()]
     );
     let settled = resolve(&row("k", State::Ran), old);
-    assert!(matches!(settled, Err(resolve::Error::Settled(_))));
+    assert!(matches!(settled, Err(resolve::Error::AlreadySettled(_))));
     assert_eq!(resolve::unresolved(&[claimed, row("r", State::Ran)], old).count(), 1);
 }
 
@@ -396,9 +397,9 @@
     assert!(!breaker.admit(NOW + settings.min_pause.mul_f64(0.49)));
     let probe_at = NOW + settings.min_pause;
     assert!(breaker.admit(probe_at));
-    assert!(!breaker.admit(probe_at), "one probe at a time");
+    assert!(!breaker.admit(probe_at), "only one probe at a time");
     breaker.failed(probe_at, &mut rng);
-    assert!(!breaker.admit(probe_at + settings.min_pause.mul_f64(0.99)), "the pause doubles");
+    assert!(!breaker.admit(probe_at + settings.min_pause.mul_f64(0.99)), "the pause must double");
     assert!(breaker.admit(probe_at + settings.min_pause * 2));
     breaker.succeeded();
     assert!(breaker.is_closed());
