--- a/mimosashift/src/node/postings/committer.rs
+++ b/mimosashift/src/node/postings/committer.rs
@@ -96,7 +96,7 @@
 
     fn settle(&mut self, batch: Batch<u64>, outcome: Outcome<u64>) {
         let settled = batch.settle(outcome);
-        self.rest.extend(settled.rest);
+        self.rest.extend(settled.remaining);
         for (id, outcome) in settled.outcomes {
             // The receiver is gone only when the router is.
             let _ = self.outcomes.send(Committed { id, outcome });
--- a/mimosashift/src/posting/batch.rs
+++ b/mimosashift/src/posting/batch.rs
@@ -49,7 +49,7 @@
     /// Outcomes of the members that are finished.
     pub outcomes: Vec<(T, Outcome<u64>)>,
     /// Batches that still have to be committed.
-    pub rest: Vec<Batch<T>>,
+    pub remaining: Vec<Batch<T>>,
 }
 
 impl<T> Queue<T> {
@@ -151,7 +151,7 @@
             {
                 let second = self.members.split_off(self.members.len() / 2);
                 let second = Self { members: second, ..self };
-                BatchOutcome { outcomes: Vec::new(), rest: vec![self, second] }
+                BatchOutcome { outcomes: Vec::new(), remaining: vec![self, second] }
             }
             Outcome::Done(_) => self.settle_all(&outcome),
             Outcome::NotDone(_) if !self.uncertain => self.settle_all(&outcome),
@@ -161,7 +161,7 @@
             Outcome::NotDone(_) | Outcome::Unknown => {
                 self.repeats_left -= 1;
                 self.uncertain = true;
-                BatchOutcome { outcomes: Vec::new(), rest: vec![self] }
+                BatchOutcome { outcomes: Vec::new(), remaining: vec![self] }
             }
         }
     }
@@ -182,13 +182,13 @@
         let member = self.members.remove(index);
         self.uncertain &= wrote;
         let outcome = Outcome::NotDone(Refusal::Conflict(Some(row)));
-        let rest = if self.members.is_empty() { Vec::new() } else { vec![self] };
-        BatchOutcome { outcomes: vec![(member.tag, outcome)], rest }
+        let remaining = if self.members.is_empty() { Vec::new() } else { vec![self] };
+        BatchOutcome { outcomes: vec![(member.tag, outcome)], remaining }
     }
 
     fn settle_all(self, outcome: &Outcome<u64>) -> BatchOutcome<T> {
         let outcomes = self.members.into_iter().map(|m| (m.tag, outcome.clone())).collect();
-        BatchOutcome { outcomes, rest: Vec::new() }
+        BatchOutcome { outcomes, remaining: Vec::new() }
     }
 }
 
--- a/mimosashift/tests/common/posting_sim.rs
+++ b/mimosashift/tests/common/posting_sim.rs
@@ -296,7 +296,7 @@
         for (attempt, outcome) in settled.outcomes {
             self.step(attempt, |machine, now| machine.committed(&outcome, now));
         }
-        for batch in settled.rest {
+        for batch in settled.remaining {
             self.commit(router, batch);
         }
     }
--- a/mimosashift/tests/posting.rs
+++ b/mimosashift/tests/posting.rs
@@ -167,7 +167,7 @@
     let batch = batch(members(64));
     assert_eq!(batch.transaction().writes.len(), 64);
     let settled = batch.settle(Outcome::Done(9));
-    assert!(settled.rest.is_empty());
+    assert!(settled.remaining.is_empty());
     assert_eq!(settled.outcomes.len(), 64);
     assert!(settled.outcomes.iter().all(|(_, outcome)| *outcome == Outcome::Done(9)));
 }
@@ -177,9 +177,9 @@
     let conflict = Outcome::NotDone(Refusal::Conflict(Some(row("5", State::Claimed))));
     let mut settled = batch(members(64)).settle(conflict.clone());
     assert_eq!(settled.outcomes, [(5, conflict)]);
-    let rest = settled.rest.pop().unwrap().settle(Outcome::Done(9));
+    let rest = settled.remaining.pop().unwrap().settle(Outcome::Done(9));
     assert_eq!(rest.outcomes.len(), 63);
-    assert!(rest.rest.is_empty());
+    assert!(rest.remaining.is_empty());
 }
 
 #[test]
@@ -190,8 +190,8 @@
     assert!(settled.outcomes.is_empty());
     let own = Row { key, revision: 9, value };
     let conflict = Outcome::NotDone(Refusal::Conflict(Some(own)));
-    let rest = settled.rest.pop().unwrap().settle(conflict);
-    assert!(rest.rest.is_empty());
+    let rest = settled.remaining.pop().unwrap().settle(conflict);
+    assert!(rest.remaining.is_empty());
     assert!(rest.outcomes.iter().all(|(_, outcome)| *outcome == Outcome::Done(9)));
 }
 
@@ -202,7 +202,7 @@
         fn $case() {
             let mut settled = batch(members(1)).settle(Outcome::Unknown);
             for _ in 0..3 {
-                let Some(batch) = settled.rest.pop() else { break };
+                let Some(batch) = settled.remaining.pop() else { break };
                 settled = batch.settle(Outcome::NotDone($refusal));
             }
             assert_eq!(settled.outcomes, [(0, Outcome::Unknown)]);
