--- a/mimosabench/src/slopes/config.rs
+++ b/mimosabench/src/slopes/config.rs
@@ -9,7 +9,7 @@
 use mimosashift::config::change::Commit;
 use mimosashift::config::load::Load;
 use mimosashift::config::poll::Poll;
-use mimosashift::config::spread::{Action, Peer, Spread};
+use mimosashift::config::replication::{Action, Peer, Replicator};
 use mimosashift::config::transfer::{Part, Reply, Request};
 use mimosashift::config::{Change, ChangeId, Precondition, Record, State};
 use mimosashift::platform::{self, Outcome, Page, Row, Table, Transaction};
@@ -164,7 +164,7 @@
 
 /// Bytes of all chunks that take a snapshot to a router that has nothing.
 fn transfer(state: &State) -> Result<usize, Error> {
-    let mut source = Spread::new(fleet::name("router-1"));
+    let mut source = Replicator::new(fleet::name("router-1"));
     source.take_in(&state.clone().into(), &[]);
     let mut request = Request { have: Default::default(), part: None };
     let mut bytes = 0;
@@ -214,7 +214,7 @@
 
 /// The routers of one failure domain.
 struct Group {
-    routers: Vec<(String, Spread)>,
+    routers: Vec<(String, Replicator)>,
     rng: Pcg64Mcg,
 }
 
@@ -222,7 +222,7 @@
     fn new(domain: usize) -> Self {
         let router = |router| {
             let name = format!("router-{domain}-{router}");
-            let spread = Spread::new(fleet::name(&name));
+            let spread = Replicator::new(fleet::name(&name));
             (name, spread)
         };
         let routers = (0..ROUTERS).map(router).collect();
@@ -259,7 +259,7 @@
 
     fn peers(&self, index: usize) -> Vec<Peer> {
         let others = self.routers.iter().enumerate().filter(|(other, _)| *other != index);
-        let peer = |(_, (name, spread)): (usize, &(String, Spread))| Peer {
+        let peer = |(_, (name, spread)): (usize, &(String, Replicator))| Peer {
             node: fleet::name(name),
             near: true,
             version: spread.store().version(),
--- a/mimosashift/src/config/mod.rs
+++ b/mimosashift/src/config/mod.rs
@@ -17,15 +17,15 @@
 pub mod phase;
 pub mod poll;
 pub mod record;
+pub mod replication;
 mod row;
-pub mod spread;
 pub mod state;
 pub mod store;
 pub mod transfer;
 
 pub use change::{Change, ChangeId, Committed, Precondition};
 pub use record::{Entry, Record};
-pub use spread::Spread;
+pub use replication::Replicator;
 pub use state::{State, Version};
 pub use store::Store;
 
--- a/mimosashift/src/config/phase.rs
+++ b/mimosashift/src/config/phase.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 use std::time::Duration;
 
-use super::Spread;
-use super::spread::Peer;
+use super::Replicator;
+use super::replication::Peer;
 use crate::resource::{Name, Snapshot};
 use crate::time::Instant;
 
@@ -14,7 +14,7 @@
 /// The configuration of a router in one phase of its life.
 #[derive(Debug)]
 pub struct Router<Phase> {
-    spread: Box<Spread>,
+    replicator: Box<Replicator>,
     phase: Phase,
 }
 
@@ -49,7 +49,7 @@
 impl Router<Starting> {
     /// Starts with nothing installed.
     pub fn new(node: Name, now: Instant) -> Self {
-        Self { spread: Box::new(Spread::new(node)), phase: Starting { since: now } }
+        Self { replicator: Box::new(Replicator::new(node)), phase: Starting { since: now } }
     }
 
     /// Serves once the highest revision that the reachable peers and the
@@ -57,13 +57,13 @@
     pub fn serve(self, now: Instant, peers: &[Peer]) -> Result<Router<Serving>, Self> {
         match self.reason(now, peers) {
             Some(_) => Err(self),
-            None => Ok(Router { spread: self.spread, phase: Serving(()) }),
+            None => Ok(Router { replicator: self.replicator, phase: Serving(()) }),
         }
     }
 
     /// Why it does not serve yet, `None` when it may.
     pub fn reason(&self, now: Instant, peers: &[Peer]) -> Option<Reason> {
-        let installed = self.spread.store().version().revision;
+        let installed = self.replicator.store().version().revision;
         let wanted = peers.iter().map(|peer| peer.version.revision).max().unwrap_or_default();
         if now.since(self.phase.since) < LISTEN {
             return Some(Reason::Listening);
@@ -71,10 +71,10 @@
         if installed < wanted {
             return Some(Reason::Behind { installed, wanted });
         }
-        if self.spread.polls() == 0 {
+        if self.replicator.polls() == 0 {
             return Some(Reason::Asking);
         }
-        let nothing = installed == 0 && self.spread.polled().is_none();
+        let nothing = installed == 0 && self.replicator.polled().is_none();
         nothing.then_some(Reason::Nothing)
     }
 }
@@ -82,19 +82,19 @@
 impl Router<Serving> {
     /// The snapshot to serve by.
     pub const fn snapshot(&self) -> &Snapshot {
-        self.spread.store().state().snapshot()
+        self.replicator.store().state().snapshot()
     }
 }
 
 impl<Phase> Router<Phase> {
     /// The exchange with the table and other routers.
-    pub const fn spread(&self) -> &Spread {
-        &self.spread
+    pub const fn replicator(&self) -> &Replicator {
+        &self.replicator
     }
 
     /// The exchange with the table and other routers, to drive it.
-    pub const fn spread_mut(&mut self) -> &mut Spread {
-        &mut self.spread
+    pub const fn replicator_mut(&mut self) -> &mut Replicator {
+        &mut self.replicator
     }
 }
 
--- a/mimosashift/src/config/spread.rs
+++ b/mimosashift/src/config/replication.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Run a [`Poll`](super::poll::Poll) from this state and hand its result
-    /// to [`Spread::on_poll`].
+    /// to [`Replicator::on_poll`].
     Poll(State),
     /// Send a request to a peer.
     Pull(Name, Request),
@@ -62,7 +62,7 @@
 
 /// The configuration of one router and its exchange with others.
 #[derive(Debug)]
-pub struct Spread {
+pub struct Replicator {
     node: Name,
     store: Store,
     source: Source,
@@ -88,7 +88,7 @@
     sink: Sink,
 }
 
-impl Spread {
+impl Replicator {
     /// Starts with nothing installed.
     pub fn new(node: Name) -> Self {
         Self {
--- a/mimosashift/src/member/mod.rs
+++ b/mimosashift/src/member/mod.rs
@@ -14,7 +14,7 @@
 use smallvec::SmallVec;
 
 use crate::config::Version;
-use crate::config::spread::Peer;
+use crate::config::replication::Peer;
 use crate::resource::Name;
 use crate::time::Instant;
 use crate::wire::message::{Heartbeat, MAX_PAYLOAD_BYTES, Payload, Summary};
--- a/mimosashift/src/node/cluster/life.rs
+++ b/mimosashift/src/node/cluster/life.rs
@@ -1,8 +1,8 @@
 //! The configuration of a router in whichever phase it is.
 
-use crate::config::Spread;
+use crate::config::Replicator;
 use crate::config::phase::{Reason, Router, Serving, Starting};
-use crate::config::spread::Peer;
+use crate::config::replication::Peer;
 use crate::resource::Name;
 use crate::time::Instant;
 
@@ -21,18 +21,18 @@
     }
 
     /// The exchange with the table and other routers.
-    pub fn spread(&self) -> &Spread {
+    pub fn replicator(&self) -> &Replicator {
         match self.phase() {
-            Phase::Starting(router) => router.spread(),
-            Phase::Serving(router) => router.spread(),
+            Phase::Starting(router) => router.replicator(),
+            Phase::Serving(router) => router.replicator(),
         }
     }
 
     /// The exchange with the table and other routers, to drive it.
-    pub fn spread_mut(&mut self) -> &mut Spread {
+    pub fn replicator_mut(&mut self) -> &mut Replicator {
         match self.0.as_mut().expect("a phase is put back at once") {
-            Phase::Starting(router) => router.spread_mut(),
-            Phase::Serving(router) => router.spread_mut(),
+            Phase::Starting(router) => router.replicator_mut(),
+            Phase::Serving(router) => router.replicator_mut(),
         }
     }
 
--- a/mimosashift/src/node/cluster/mod.rs
+++ b/mimosashift/src/node/cluster/mod.rs
@@ -16,7 +16,7 @@
 use crate::admit::share;
 use crate::config::phase::Reason;
 use crate::config::poll::Poll;
-use crate::config::spread::{Action, Peer};
+use crate::config::replication::{Action, Peer};
 use crate::config::store::Gone;
 use crate::config::transfer::{Reply, Request};
 use crate::config::{self, Committed, Record, State, call};
@@ -123,7 +123,7 @@
     /// Changes after `revision`; none while this router is behind it.
     pub fn watch(&self, revision: u64) -> Result<Vec<Record>, Gone> {
         let shared = self.lock();
-        let store = shared.life.spread().store();
+        let store = shared.life.replicator().store();
         if revision >= store.version().revision {
             return Ok(Vec::new());
         }
@@ -158,7 +158,7 @@
 
 impl Shared {
     fn report(&self, payloads: Vec<crate::wire::message::Payload>) -> member::Report {
-        let spread = self.life.spread();
+        let spread = self.life.replicator();
         member::Report { version: spread.store().version(), polled: spread.polled(), payloads }
     }
 }
@@ -189,7 +189,7 @@
         let now = self.clock.now();
         self.decide(|shared| {
             let peers = shared.membership.peers(now);
-            shared.life.spread_mut().take_in(&committed.progress, &peers)
+            shared.life.replicator_mut().take_in(&committed.progress, &peers)
         });
     }
 
@@ -224,9 +224,9 @@
         self.decide(|shared| {
             let peers = shared.membership.peers(now);
             let Shared { life, rng, .. } = shared;
-            let actions = life.spread_mut().tick(now, &peers, rng);
+            let actions = life.replicator_mut().tick(now, &peers, rng);
             if life.try_serve(now, &peers) {
-                let revision = life.spread().store().version().revision;
+                let revision = life.replicator().store().version().revision;
                 emit!(self.log, Event::NodeReady, "revision" => revision);
             }
             actions
@@ -238,7 +238,7 @@
     fn decide(&self, decide: impl FnOnce(&mut Shared) -> Vec<Action>) {
         let mut shared = self.cluster.lock();
         let actions = decide(&mut shared);
-        let store = shared.life.spread().store();
+        let store = shared.life.replicator().store();
         if store.version() != self.installed.load().state().version() {
             self.install(store.state().clone());
         }
@@ -302,7 +302,7 @@
             }
             Message::Heartbeat(_) => None,
             Message::Request(request) => {
-                let reply = self.cluster.lock().life.spread().answer(&request);
+                let reply = self.cluster.lock().life.replicator().answer(&request);
                 Some(Message::Reply(Bundle::from(&reply)))
             }
             Message::Reply(bundle) => {
@@ -320,7 +320,7 @@
         // A peer that sends what cannot be read is asked again later.
         let Ok(reply) = Reply::try_from(bundle) else { return };
         let now = self.clock.now();
-        self.decide(|shared| shared.life.spread_mut().on_reply(now, peer, reply));
+        self.decide(|shared| shared.life.replicator_mut().on_reply(now, peer, reply));
     }
 
     fn note_heartbeat(&self, peer: &Name, event: member::Event) {
@@ -410,7 +410,7 @@
         let now = self.clock.now();
         self.decide(|shared| {
             let peers: Vec<Peer> = shared.membership.peers(now);
-            shared.life.spread_mut().on_poll(now, result, &peers)
+            shared.life.replicator_mut().on_poll(now, result, &peers)
         });
     }
 }
--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -10,7 +10,7 @@
 use mimosashift::config::load::Load;
 use mimosashift::config::phase::{Reason, Router, Serving, Starting};
 use mimosashift::config::poll::Poll;
-use mimosashift::config::spread::{Action, Peer, Spread};
+use mimosashift::config::replication::{Action, Peer, Replicator};
 use mimosashift::config::transfer::Reply;
 use mimosashift::config::{Change, Error, Record, State, Version};
 use mimosashift::member::{Identity, Membership, Report};
@@ -144,7 +144,7 @@
 
     /// Commits a change through a router; the register follows the table.
     pub fn commit(&mut self, index: usize, change: Change) -> Result<u64, Error> {
-        let installed = self.nodes[index].spread().store().state().clone();
+        let installed = self.nodes[index].replicator().store().state().clone();
         if self.net.table_cut[self.nodes[index].domain] {
             return Err(Error::Platform(mimosashift::platform::Refusal::Unavailable));
         }
@@ -153,7 +153,7 @@
         let committed = result?;
         let now = self.now;
         let peers = self.nodes[index].membership.peers(now);
-        let actions = self.nodes[index].spread_mut().take_in(&committed.progress, &peers);
+        let actions = self.nodes[index].replicator_mut().take_in(&committed.progress, &peers);
         self.act(index, actions);
         Ok(committed.revision)
     }
@@ -224,8 +224,8 @@
         let sends = node.membership.tick(now, &report, &mut node.rng);
         let peers = node.membership.peers(now);
         let actions = match &mut node.life {
-            Life::Starting(router) => router.spread_mut().tick(now, &peers, &mut node.rng),
-            Life::Serving(router) => router.spread_mut().tick(now, &peers, &mut node.rng),
+            Life::Starting(router) => router.replicator_mut().tick(now, &peers, &mut node.rng),
+            Life::Serving(router) => router.replicator_mut().tick(now, &peers, &mut node.rng),
         };
         node.try_serve(now, &peers);
         for send in sends {
@@ -266,12 +266,12 @@
             let name = self.nodes[index].membership.own().node.clone();
             self.nodes[index].life = Life::Starting(Router::new(name, self.now));
             let progress = Progress::from(state);
-            self.nodes[index].spread_mut().take_in(&progress, &[]);
+            self.nodes[index].replicator_mut().take_in(&progress, &[]);
             return;
         }
         let peers = self.nodes[index].membership.peers(self.now);
         let now = self.now;
-        let actions = self.nodes[index].spread_mut().on_poll(now, result, &peers);
+        let actions = self.nodes[index].replicator_mut().on_poll(now, result, &peers);
         self.act(index, actions);
     }
 
@@ -323,12 +323,12 @@
                 node.membership.on_heartbeat(now, heartbeat);
             }
             Message::Request(request) => {
-                let bundle = Bundle::from(&node.spread().answer(&request));
+                let bundle = Bundle::from(&node.replicator().answer(&request));
                 self.send(to, from, Message::Reply(bundle), MAX_STREAM_BYTES);
             }
             Message::Reply(bundle) => {
                 let reply = Reply::try_from(&bundle).unwrap();
-                let actions = node.spread_mut().on_reply(now, &peer, reply);
+                let actions = node.replicator_mut().on_reply(now, &peer, reply);
                 self.act(to, actions);
             }
             Message::Reports(_) => unreachable!("routers here send no reports of other parts"),
@@ -344,7 +344,7 @@
             let changed = revision != self.highest[index];
             self.highest[index] = revision;
             let accepted = self.register.get(&revision);
-            if changed && accepted != Some(node.spread().store().state().snapshot()) {
+            if changed && accepted != Some(node.replicator().store().state().snapshot()) {
                 return Err(format!("router {index} holds another revision {revision}"));
             }
         }
@@ -353,22 +353,22 @@
 }
 
 impl Node {
-    pub fn spread(&self) -> &Spread {
+    pub fn replicator(&self) -> &Replicator {
         match &self.life {
-            Life::Starting(router) => router.spread(),
-            Life::Serving(router) => router.spread(),
+            Life::Starting(router) => router.replicator(),
+            Life::Serving(router) => router.replicator(),
         }
     }
 
-    pub fn spread_mut(&mut self) -> &mut Spread {
+    pub fn replicator_mut(&mut self) -> &mut Replicator {
         match &mut self.life {
-            Life::Starting(router) => router.spread_mut(),
-            Life::Serving(router) => router.spread_mut(),
+            Life::Starting(router) => router.replicator_mut(),
+            Life::Serving(router) => router.replicator_mut(),
         }
     }
 
     pub fn version(&self) -> Version {
-        self.spread().store().version()
+        self.replicator().store().version()
     }
 
     pub fn serves(&self) -> bool {
@@ -385,7 +385,7 @@
 
     pub fn report(&self) -> Report {
         let payloads = vec![Payload { tag: 1, bytes: vec![7; REPORT_BYTES] }];
-        Report { version: self.version(), polled: self.spread().polled(), payloads }
+        Report { version: self.version(), polled: self.replicator().polled(), payloads }
     }
 
     fn try_serve(&mut self, now: Instant, peers: &[Peer]) {
--- a/mimosashift/tests/spread.rs
+++ b/mimosashift/tests/spread.rs
@@ -171,7 +171,7 @@
 fn one_router_of_a_domain_polls() {
     let mut cluster = Cluster::new(12, 3, 1);
     cluster.run(START).unwrap();
-    let polls = |c: &Cluster| c.nodes.iter().map(|n| n.spread().polls()).collect::<Vec<_>>();
+    let polls = |c: &Cluster| c.nodes.iter().map(|n| n.replicator().polls()).collect::<Vec<_>>();
     let before = polls(&cluster);
     cluster.run(Duration::from_secs(20)).unwrap();
     let polled: Vec<_> = polls(&cluster).iter().zip(&before).map(|(a, b)| a - b).collect();
@@ -196,7 +196,7 @@
     cluster.table.with(|inner| inner.down = true);
     cluster.restart(1);
     cluster.run_until(1_500, Duration::from_secs(10)).unwrap();
-    assert_eq!(cluster.nodes[1].spread().store().state().snapshot().len(), 1_500);
+    assert_eq!(cluster.nodes[1].replicator().store().state().snapshot().len(), 1_500);
 }
 
 #[test]
@@ -221,7 +221,7 @@
     for id in 1..=1_500 {
         cluster.commit(0, change(id, "urgent", 1)).unwrap();
     }
-    let store = cluster.nodes[0].spread().store();
+    let store = cluster.nodes[0].replicator().store();
     let watched: Vec<_> = store.watch(1_498).unwrap().map(|record| record.revision).collect();
     assert_eq!(watched, [1_499, 1_500]);
     assert_eq!(store.watch(1_500).unwrap().count(), 0);
