--- a/mimosabench/src/slopes/config.rs
+++ b/mimosabench/src/slopes/config.rs
@@ -165,7 +165,7 @@
 /// Bytes of all chunks that take a snapshot to a router that has nothing.
 fn transfer(state: &State) -> Result<usize, Error> {
     let mut source = Replicator::new(fleet::name("router-1"));
-    source.take_in(&state.clone().into(), &[]);
+    source.install_progress(&state.clone().into(), &[]);
     let mut request = Request { have: Default::default(), part: None };
     let mut bytes = 0;
     loop {
--- a/mimosashift/src/config/replication.rs
+++ b/mimosashift/src/config/replication.rs
@@ -152,7 +152,7 @@
             Ok(progress) => {
                 self.polled = Some(now);
                 self.domain_polled = Some(now);
-                self.take_in(&progress, peers)
+                self.install_progress(&progress, peers)
             }
             // Told by the health of the platform, not of the configuration.
             Err(Error::Platform(_)) => Vec::new(),
@@ -161,7 +161,7 @@
     }
 
     /// Takes in what this router has committed or read itself.
-    pub fn take_in(&mut self, progress: &Progress, peers: &[Peer]) -> Vec<Action> {
+    pub fn install_progress(&mut self, progress: &Progress, peers: &[Peer]) -> Vec<Action> {
         let before = self.store.version();
         let records = self.store.install_records(&progress.records);
         let result = records.and_then(|_| self.store.install(progress.state.clone()));
--- a/mimosashift/src/node/cluster/mod.rs
+++ b/mimosashift/src/node/cluster/mod.rs
@@ -189,7 +189,7 @@
         let now = self.clock.now();
         self.decide(|shared| {
             let peers = shared.membership.peers(now);
-            shared.life.replicator_mut().take_in(&committed.progress, &peers)
+            shared.life.replicator_mut().install_progress(&committed.progress, &peers)
         });
     }
 
--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -153,7 +153,8 @@
         let committed = result?;
         let now = self.now;
         let peers = self.nodes[index].membership.peers(now);
-        let actions = self.nodes[index].replicator_mut().take_in(&committed.progress, &peers);
+        let actions =
+            self.nodes[index].replicator_mut().install_progress(&committed.progress, &peers);
         self.act(index, actions);
         Ok(committed.revision)
     }
@@ -266,7 +267,7 @@
             let name = self.nodes[index].membership.own().node.clone();
             self.nodes[index].life = Life::Starting(Router::new(name, self.now));
             let progress = Progress::from(state);
-            self.nodes[index].replicator_mut().take_in(&progress, &[]);
+            self.nodes[index].replicator_mut().install_progress(&progress, &[]);
             return;
         }
         let peers = self.nodes[index].membership.peers(self.now);
