--- a/mimosabench/src/slopes/config.rs
+++ b/mimosabench/src/slopes/config.rs
@@ -261,7 +261,7 @@
         let others = self.routers.iter().enumerate().filter(|(other, _)| *other != index);
         let peer = |(_, (name, spread)): (usize, &(String, Replicator))| Peer {
             node: fleet::name(name),
-            near: true,
+            same_domain: true,
             version: spread.store().version(),
             polled: spread.polled(),
         };
--- a/mimosashift/src/config/replication.rs
+++ b/mimosashift/src/config/replication.rs
@@ -39,7 +39,7 @@
     /// Its name.
     pub node: Name,
     /// Whether it is in the same failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// What it has installed.
     pub version: Version,
     /// When it last read the table's head.
@@ -182,7 +182,7 @@
     }
 
     fn hear(&mut self, peer: &Peer) -> Option<Action> {
-        if peer.near {
+        if peer.same_domain {
             self.domain_polled = self.domain_polled.max(peer.polled);
         }
         let own = self.store.version();
@@ -197,8 +197,9 @@
         rng: &mut Pcg64Mcg,
     ) -> Option<Action> {
         let have = self.store.version();
-        let ahead = |near: bool| -> Vec<&Peer> {
-            let ahead = |p: &&Peer| p.version.revision > have.revision && p.near == near;
+        let ahead = |same_domain: bool| -> Vec<&Peer> {
+            let ahead =
+                |p: &&Peer| p.version.revision > have.revision && p.same_domain == same_domain;
             peers.iter().filter(ahead).collect()
         };
         let mut choice = ahead(true);
@@ -236,7 +237,7 @@
     /// Place of this router among those of its domain, by rendezvous hash.
     fn rank(&self, peers: &[Peer]) -> u32 {
         let own = rendezvous(&self.node);
-        let before = peers.iter().filter(|peer| peer.near && rendezvous(&peer.node) > own);
+        let before = peers.iter().filter(|peer| peer.same_domain && rendezvous(&peer.node) > own);
         u32::try_from(before.count()).expect("there are fewer routers than 2^32")
     }
 
@@ -298,7 +299,7 @@
     if records.is_empty() || records.len() > MAX_PUSH_RECORDS {
         return Vec::new();
     }
-    let near = peers.iter().filter(|peer| peer.near);
+    let near = peers.iter().filter(|peer| peer.same_domain);
     near.map(|peer| Action::Push(peer.node.clone(), records.to_vec())).collect()
 }
 
--- a/mimosashift/src/member/mod.rs
+++ b/mimosashift/src/member/mod.rs
@@ -160,7 +160,7 @@
     pub fn peers(&self, now: Instant) -> Vec<Peer> {
         let peer = |member: &Member| Peer {
             node: member.heartbeat.node.clone(),
-            near: member.heartbeat.domain == self.own.domain,
+            same_domain: member.heartbeat.domain == self.own.domain,
             version: member.heartbeat.version,
             polled: member.polled,
         };
--- a/mimosashift/tests/member.rs
+++ b/mimosashift/tests/member.rs
@@ -39,7 +39,8 @@
     eprintln!("{routers} routers: sent and received {mean} B/s in the mean, at most {most} B/s");
     assert!(*most <= BUDGET, "{most} B/s");
     for node in &cluster.nodes {
-        let near = node.membership.peers(cluster.now).iter().filter(|peer| peer.near).count();
+        let near =
+            node.membership.peers(cluster.now).iter().filter(|peer| peer.same_domain).count();
         let same = cluster.nodes.iter().filter(|other| other.domain == node.domain).count();
         assert_eq!(near + 1, same, "{:?} does not know its domain", node.membership.own());
     }
