--- a/mimosashift/src/config/audit.rs
+++ b/mimosashift/src/config/audit.rs
@@ -1,12 +1,12 @@
 //! Reads the audit trail from the table's log.
 
-use super::call::{Answer, Machine, Step};
+use super::call::{Response, StateMachine, Step};
 use super::row;
 use super::{ChangeId, Error, Record};
 use crate::platform::Page;
 use crate::resource::{Kind, Name};
 
-/// Most pages of the log read for one answer.
+/// Most pages of the log read for one response.
 const MAX_PAGES: usize = 16;
 
 /// Which changes are asked for.
@@ -83,15 +83,15 @@
     }
 }
 
-impl Machine for Audit {
+impl StateMachine for Audit {
     type Output = Result<Part, Error>;
 
     fn start(&mut self) -> Step<Self::Output> {
         Step::Call(row::scan_log(self.filter.after))
     }
 
-    fn answer(&mut self, answer: Answer) -> Step<Self::Output> {
-        let Answer::Scan(outcome) = answer else { unreachable!("this machine only scans") };
+    fn on_response(&mut self, response: Response) -> Step<Self::Output> {
+        let Response::Scan(outcome) = response else { unreachable!("this machine only scans") };
         match row::read(outcome).and_then(|page| self.take_in(&page)) {
             Ok(Some(reached)) => Step::Call(row::scan_log(reached)),
             Ok(None) => Step::Done(Ok(std::mem::take(&mut self.part))),
--- a/mimosashift/src/config/call.rs
+++ b/mimosashift/src/config/call.rs
@@ -27,7 +27,7 @@
 
 /// The answer to a [`Call`] of the same name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Response {
     /// Row read.
     Read(Outcome<Option<Row>>),
     /// Page read.
@@ -46,7 +46,7 @@
 }
 
 /// A machine that ends after a bounded number of calls.
-pub trait Machine {
+pub trait StateMachine {
     /// Its result.
     type Output;
 
@@ -54,26 +54,26 @@
     fn start(&mut self) -> Step<Self::Output>;
 
     /// What follows from the answer to the last call.
-    fn answer(&mut self, answer: Answer) -> Step<Self::Output>;
+    fn on_response(&mut self, response: Response) -> Step<Self::Output>;
 }
 
 /// Makes one call.
-pub fn perform(table: &dyn Table, call: &Call) -> Answer {
+pub fn execute(table: &dyn Table, call: &Call) -> Response {
     match call {
-        Call::Read(key) => Answer::Read(table.read(key)),
+        Call::Read(key) => Response::Read(table.read(key)),
         Call::Scan { table: name, prefix, after, limit } => {
-            Answer::Scan(table.scan(name, prefix, after, *limit))
+            Response::Scan(table.scan(name, prefix, after, *limit))
         }
-        Call::Commit(transaction) => Answer::Commit(table.commit(transaction)),
+        Call::Commit(transaction) => Response::Commit(table.commit(transaction)),
     }
 }
 
 /// Runs a machine to its end against a table.
-pub fn run<M: Machine>(table: &dyn Table, mut machine: M) -> M::Output {
+pub fn run<M: StateMachine>(table: &dyn Table, mut machine: M) -> M::Output {
     let mut step = machine.start();
     loop {
         match step {
-            Step::Call(call) => step = machine.answer(perform(table, &call)),
+            Step::Call(call) => step = machine.on_response(execute(table, &call)),
             Step::Done(output) => return output,
         }
     }
--- a/mimosashift/src/config/catchup.rs
+++ b/mimosashift/src/config/catchup.rs
@@ -1,6 +1,6 @@
 //! Reads what a state lacks from the table's log.
 
-use super::call::{Answer, Call, Machine, Step};
+use super::call::{Call, Response, StateMachine, Step};
 use super::row::{self, HeadRow};
 use super::{Error, Record, State};
 use crate::platform::Page;
@@ -69,20 +69,20 @@
     }
 }
 
-impl Machine for CatchUp {
+impl StateMachine for CatchUp {
     type Output = Result<Progress, Error>;
 
     fn start(&mut self) -> Step<Self::Output> {
         Step::Call(Call::Read(row::head()))
     }
 
-    fn answer(&mut self, answer: Answer) -> Step<Self::Output> {
-        let next = match answer {
-            Answer::Read(outcome) => row::read(outcome)
+    fn on_response(&mut self, response: Response) -> Step<Self::Output> {
+        let next = match response {
+            Response::Read(outcome) => row::read(outcome)
                 .and_then(|row| row::decode_head(row.as_ref()))
                 .and_then(|head| self.on_head(head)),
-            Answer::Scan(outcome) => row::read(outcome).and_then(|page| self.on_page(page)),
-            Answer::Commit(_) => unreachable!("this machine never commits"),
+            Response::Scan(outcome) => row::read(outcome).and_then(|page| self.on_page(page)),
+            Response::Commit(_) => unreachable!("this machine never commits"),
         };
         match next {
             Ok(Some(call)) => Step::Call(call),
--- a/mimosashift/src/config/change.rs
+++ b/mimosashift/src/config/change.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Error;
-use super::call::{Answer, Call, Machine, Step};
+use super::call::{Call, Response, StateMachine, Step};
 use super::catchup::{CatchUp, Progress};
 use super::record::{Record, shortened};
 use super::row;
@@ -123,24 +123,24 @@
         }
     }
 
-    fn next(&mut self, answer: Answer) -> Next {
-        match (&mut self.phase, answer) {
-            (Phase::Lookup, Answer::Read(outcome)) => {
+    fn next(&mut self, response: Response) -> Next {
+        match (&mut self.phase, response) {
+            (Phase::Lookup, Response::Read(outcome)) => {
                 let row = row::read(outcome)?;
                 self.on_lookup(row.as_ref())
             }
-            (Phase::Earlier(revision), Answer::Read(outcome)) => {
+            (Phase::Earlier(revision), Response::Read(outcome)) => {
                 let revision = *revision;
                 self.on_earlier(revision, row::read(outcome)?.as_ref())
             }
-            (Phase::CatchUp(machine), answer @ (Answer::Read(_) | Answer::Scan(_))) => {
-                match machine.answer(answer) {
+            (Phase::CatchUp(machine), response @ (Response::Read(_) | Response::Scan(_))) => {
+                match machine.on_response(response) {
                     Step::Call(call) => Ok(Step::Call(call)),
                     Step::Done(progress) => self.on_caught_up(progress?),
                 }
             }
-            (Phase::Commit { .. }, Answer::Commit(outcome)) => self.on_commit(outcome),
-            (phase, answer) => unreachable!("phase {phase:?} asked for no {answer:?}"),
+            (Phase::Commit { .. }, Response::Commit(outcome)) => self.on_commit(outcome),
+            (phase, response) => unreachable!("phase {phase:?} asked for no {response:?}"),
         }
     }
 
@@ -320,15 +320,15 @@
     }
 }
 
-impl Machine for Commit {
+impl StateMachine for Commit {
     type Output = Result<Committed, Error>;
 
     fn start(&mut self) -> Step<Self::Output> {
         Step::Call(Call::Read(row::change(self.change.id)))
     }
 
-    fn answer(&mut self, answer: Answer) -> Step<Self::Output> {
-        match self.next(answer) {
+    fn on_response(&mut self, response: Response) -> Step<Self::Output> {
+        match self.next(response) {
             Ok(Step::Call(call)) => Step::Call(call),
             Ok(Step::Done(committed)) => Step::Done(Ok(committed)),
             Err(_) if self.in_doubt => Step::Done(Err(Error::Unknown(self.change.id))),
--- a/mimosashift/src/config/load.rs
+++ b/mimosashift/src/config/load.rs
@@ -1,6 +1,6 @@
 //! Reads the whole configuration from the table.
 
-use super::call::{Answer, Call, Machine, Step};
+use super::call::{Call, Response, StateMachine, Step};
 use super::row;
 use super::state::{State, Version};
 use super::{Error, Record};
@@ -50,13 +50,13 @@
         }
     }
 
-    fn next(&mut self, answer: Answer) -> Result<Step<State>, Error> {
-        match (self.phase, answer) {
-            (Phase::First, Answer::Read(row)) => self.on_first_head(row::read(row)?.as_ref()),
-            (Phase::Resources, Answer::Scan(page)) => self.on_resources(&row::read(page)?),
-            (Phase::Second, Answer::Read(row)) => self.on_second_head(row::read(row)?.as_ref()),
-            (Phase::Log, Answer::Scan(page)) => self.on_log(&row::read(page)?),
-            (phase, answer) => unreachable!("phase {phase:?} asked for no {answer:?}"),
+    fn next(&mut self, response: Response) -> Result<Step<State>, Error> {
+        match (self.phase, response) {
+            (Phase::First, Response::Read(row)) => self.on_first_head(row::read(row)?.as_ref()),
+            (Phase::Resources, Response::Scan(page)) => self.on_resources(&row::read(page)?),
+            (Phase::Second, Response::Read(row)) => self.on_second_head(row::read(row)?.as_ref()),
+            (Phase::Log, Response::Scan(page)) => self.on_log(&row::read(page)?),
+            (phase, response) => unreachable!("phase {phase:?} asked for no {response:?}"),
         }
     }
 
@@ -132,7 +132,7 @@
     }
 }
 
-impl Machine for Load {
+impl StateMachine for Load {
     type Output = Result<State, Error>;
 
     fn start(&mut self) -> Step<Self::Output> {
@@ -140,8 +140,8 @@
         Step::Call(Call::Read(row::head()))
     }
 
-    fn answer(&mut self, answer: Answer) -> Step<Self::Output> {
-        match self.next(answer) {
+    fn on_response(&mut self, response: Response) -> Step<Self::Output> {
+        match self.next(response) {
             Ok(Step::Call(call)) => Step::Call(call),
             Ok(Step::Done(state)) => Step::Done(Ok(state)),
             Err(error) => Step::Done(Err(error)),
--- a/mimosashift/src/config/poll.rs
+++ b/mimosashift/src/config/poll.rs
@@ -1,6 +1,6 @@
 //! Reads from the table what a router lacks.
 
-use super::call::{Answer, Machine, Step};
+use super::call::{Response, StateMachine, Step};
 use super::catchup::{CatchUp, Progress};
 use super::load::Load;
 use super::{Error, State};
@@ -24,7 +24,7 @@
     }
 }
 
-impl Machine for Poll {
+impl StateMachine for Poll {
     type Output = Result<Progress, Error>;
 
     fn start(&mut self) -> Step<Self::Output> {
@@ -34,10 +34,10 @@
         }
     }
 
-    fn answer(&mut self, answer: Answer) -> Step<Self::Output> {
+    fn on_response(&mut self, response: Response) -> Step<Self::Output> {
         match self {
-            Self::Load(load) => loaded(load.answer(answer)),
-            Self::CatchUp(machine) => machine.answer(answer),
+            Self::Load(load) => loaded(load.on_response(response)),
+            Self::CatchUp(machine) => machine.on_response(response),
         }
     }
 }
--- a/mimosashift/tests/config.rs
+++ b/mimosashift/tests/config.rs
@@ -3,7 +3,7 @@
 mod fake;
 
 use fake::{Fake, Fault, Rows, change};
-use mimosashift::config::call::{self, Call, Machine, Step};
+use mimosashift::config::call::{self, Call, StateMachine, Step};
 use mimosashift::config::catchup::CatchUp;
 use mimosashift::config::change::Commit;
 use mimosashift::config::load::Load;
@@ -78,7 +78,7 @@
             let picked = rng.random_range(0..machines.len());
             let (machine, step) = &mut machines[picked];
             if let Step::Call(call) = step {
-                *step = machine.answer(call::perform(&table, call));
+                *step = machine.on_response(call::execute(&table, call));
             }
         }
         let results: Vec<_> = machines
@@ -113,7 +113,7 @@
                     id += 1;
                     commit(&table, change(id, "urgent", 0), &State::default()).unwrap();
                 }
-                step = machine.answer(call::perform(&table, &call));
+                step = machine.on_response(call::execute(&table, &call));
             }
             Step::Done(result) => break result,
         }
@@ -212,7 +212,7 @@
             match step {
                 Step::Call(call) => {
                     edit(&mut rng);
-                    step = machine.answer(call::perform(&table, &call));
+                    step = machine.on_response(call::execute(&table, &call));
                 }
                 Step::Done(state) => break state.unwrap(),
             }
@@ -238,7 +238,7 @@
             Step::Call(call) => {
                 let stale = matches!(call, Call::Scan { .. }).then(|| old.clone());
                 table.with(|inner| inner.stale = stale);
-                step = machine.answer(call::perform(&table, &call));
+                step = machine.on_response(call::execute(&table, &call));
             }
             Step::Done(result) => break result,
         }
@@ -270,7 +270,7 @@
     let result = loop {
         match step {
             Step::Call(call) => {
-                step = machine.answer(call::perform(&table, &call));
+                step = machine.on_response(call::execute(&table, &call));
                 table.with(|inner| inner.stale = None);
             }
             Step::Done(result) => break result.map(|committed| committed.revision),
