--- a/mimosabench/src/slopes/config.rs
+++ b/mimosabench/src/slopes/config.rs
@@ -10,7 +10,7 @@
 use mimosashift::config::load::Load;
 use mimosashift::config::poll::Poll;
 use mimosashift::config::replication::{Action, Peer, Replicator};
-use mimosashift::config::transfer::{Part, Reply, Request};
+use mimosashift::config::transfer::{Reply, Request, SnapshotCursor};
 use mimosashift::config::{Change, ChangeId, Precondition, Record, State};
 use mimosashift::platform::{self, Outcome, Page, Row, Table, Transaction};
 use mimosashift::resource::{Kind, Resource};
@@ -174,7 +174,7 @@
         let Reply::Chunk(chunk) = reply else { return Ok(bytes) };
         let Some(last) = chunk.resources.last().filter(|_| chunk.more) else { return Ok(bytes) };
         let (kind, name) = (last.spec.kind(), last.name.clone());
-        request.part = Some(Part { version: chunk.version, kind, name });
+        request.part = Some(SnapshotCursor { version: chunk.version, kind, name });
     }
 }
 
--- a/mimosashift/src/config/audit.rs
+++ b/mimosashift/src/config/audit.rs
@@ -24,9 +24,9 @@
     pub id: Option<ChangeId>,
 }
 
-/// Part of the audit trail.
+/// One page of the audit trail.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Part {
+pub struct AuditPage {
     /// Matching changes, oldest first.
     pub records: Vec<Record>,
     /// Where to ask on, `None` at the end of the log.
@@ -39,7 +39,7 @@
     filter: Filter,
     limit: usize,
     pages: usize,
-    part: Part,
+    result: AuditPage,
 }
 
 impl Filter {
@@ -56,7 +56,7 @@
 impl Audit {
     /// Reads up to `limit` changes that match.
     pub fn new(filter: Filter, limit: usize) -> Self {
-        Self { filter, limit, pages: 0, part: Part::default() }
+        Self { filter, limit, pages: 0, result: AuditPage::default() }
     }
 
     /// Takes in a page; returns where the next one starts, if it is wanted.
@@ -66,17 +66,17 @@
             let record: Record = row::decode(row)?;
             reached = Some(record.revision);
             if self.filter.matches(&record) {
-                self.part.records.push(record);
+                self.result.records.push(record);
             }
-            if self.part.records.len() == self.limit {
-                self.part.next = reached;
+            if self.result.records.len() == self.limit {
+                self.result.next = reached;
                 return Ok(None);
             }
         }
         self.pages += 1;
         let more = reached.filter(|_| page.more);
         if self.pages == MAX_PAGES {
-            self.part.next = more;
+            self.result.next = more;
             return Ok(None);
         }
         Ok(more)
@@ -84,7 +84,7 @@
 }
 
 impl StateMachine for Audit {
-    type Output = Result<Part, Error>;
+    type Output = Result<AuditPage, Error>;
 
     fn start(&mut self) -> Step<Self::Output> {
         Step::Call(row::scan_log(self.filter.after))
@@ -94,7 +94,7 @@
         let Response::Scan(outcome) = response else { unreachable!("this machine only scans") };
         match row::read(outcome).and_then(|page| self.take_in(&page)) {
             Ok(Some(reached)) => Step::Call(row::scan_log(reached)),
-            Ok(None) => Step::Done(Ok(std::mem::take(&mut self.part))),
+            Ok(None) => Step::Done(Ok(std::mem::take(&mut self.result))),
             Err(error) => Step::Done(Err(error)),
         }
     }
--- a/mimosashift/src/config/replication.rs
+++ b/mimosashift/src/config/replication.rs
@@ -260,12 +260,12 @@
     fn on_chunk(&mut self, now: Instant, peer: &Name, chunk: Chunk) -> Option<Action> {
         let pull = self.pull.as_mut().filter(|pull| pull.peer == *peer)?;
         let result = match pull.sink.take_in(chunk) {
-            Ok(Received::Part(part)) => {
+            Ok(Received::Partial(part)) => {
                 pull.deadline = now + PULL_TIMEOUT;
                 let request = Request { have: self.store.version(), part: Some(part) };
                 return Some(Action::Pull(peer.clone(), request));
             }
-            Ok(Received::Whole(state)) => self.store.install(state),
+            Ok(Received::Complete(state)) => self.store.install(state),
             Err(error) => Err(error),
         };
         match result {
--- a/mimosashift/src/config/transfer.rs
+++ b/mimosashift/src/config/transfer.rs
@@ -23,12 +23,12 @@
     /// What the asking router has installed.
     pub have: Version,
     /// The snapshot in transfer and the last resource received of it.
-    pub part: Option<Part>,
+    pub part: Option<SnapshotCursor>,
 }
 
 /// How far the transfer of a snapshot has come.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct SnapshotCursor {
     /// Version of the snapshot.
     pub version: Version,
     /// Kind of the last resource received.
@@ -91,7 +91,7 @@
         Reply::Chunk(self.chunk(store, request.part.as_ref()))
     }
 
-    fn chunk(&self, store: &Store, part: Option<&Part>) -> Chunk {
+    fn chunk(&self, store: &Store, part: Option<&SnapshotCursor>) -> Chunk {
         let kept = part.and_then(|part| {
             let state = self.recent.iter().find(|state| state.version() == part.version)?;
             Some((state, part))
@@ -120,20 +120,20 @@
         self.resources.extend(chunk.resources);
         if let Some(last) = self.resources.last().filter(|_| chunk.more) {
             let (kind, name) = (last.spec.kind(), last.name.clone());
-            return Ok(Received::Part(Part { version: self.version, kind, name }));
+            return Ok(Received::Partial(SnapshotCursor { version: self.version, kind, name }));
         }
         let resources = std::mem::take(&mut self.resources);
         let snapshot = Snapshot::new(self.version.revision, resources);
-        State::new(self.version, snapshot).map(Received::Whole)
+        State::new(self.version, snapshot).map(Received::Complete)
     }
 }
 
 /// What a chunk led to.
 pub(super) enum Received {
     /// More is to be asked for.
-    Part(Part),
+    Partial(SnapshotCursor),
     /// The snapshot is whole and adds up.
-    Whole(State),
+    Complete(State),
 }
 
 /// Entries up to the bound of a reply, and whether more follow.
--- a/mimosashift/tests/wire.rs
+++ b/mimosashift/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use mimosashift::config::transfer::{Part, Request};
+use mimosashift::config::transfer::{Request, SnapshotCursor};
 use mimosashift::config::{Version, transfer::Reply};
 use mimosashift::resource::{Kind, Name};
 use mimosashift::wire::message::{Bundle, Heartbeat, Payload, Summary};
@@ -42,7 +42,7 @@
 }
 
 fn request() -> Message {
-    let part = Part { version: Version::default(), kind: Kind::Team, name: name("t") };
+    let part = SnapshotCursor { version: Version::default(), kind: Kind::Team, name: name("t") };
     Message::Request(Request { have: Version::default(), part: Some(part) })
 }
 
