--- a/mimosashift/src/config/mod.rs
+++ b/mimosashift/src/config/mod.rs
@@ -24,7 +24,7 @@
 pub mod transfer;
 
 pub use change::{Change, ChangeId, Committed, Precondition};
-pub use record::{Entry, Record};
+pub use record::{AuditEntry, Record};
 pub use replication::Replicator;
 pub use state::{State, Version};
 pub use store::Store;
--- a/mimosashift/src/config/record.rs
+++ b/mimosashift/src/config/record.rs
@@ -43,7 +43,7 @@
 
 /// A line of the audit trail, safe to show.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Entry<'a> {
+pub struct AuditEntry<'a> {
     /// Configuration revision that the change made.
     pub revision: u64,
     /// Identifier of the change.
@@ -71,7 +71,7 @@
     }
 }
 
-impl<'a> From<&'a Record> for Entry<'a> {
+impl<'a> From<&'a Record> for AuditEntry<'a> {
     fn from(record: &'a Record) -> Self {
         Self {
             revision: record.revision,
--- a/mimosashift/src/node/operators/queries.rs
+++ b/mimosashift/src/node/operators/queries.rs
@@ -10,7 +10,7 @@
 use super::commands::refused;
 use super::{Answer, Reply, not_found, number, parse_kind, parse_name};
 use crate::config::audit::{Audit, Filter};
-use crate::config::{ChangeId, Entry, Record, call};
+use crate::config::{AuditEntry, ChangeId, Record, call};
 use crate::health::View;
 use crate::http::Request;
 use crate::http::problem::Problem;
@@ -214,7 +214,7 @@
 }
 
 fn entry(record: &Record) -> Value {
-    let entry = Entry::from(record);
+    let entry = AuditEntry::from(record);
     json!({
         "revision": entry.revision,
         "time": entry.at_unix_ms,
--- a/mimosashift/src/node/operators/watch.rs
+++ b/mimosashift/src/node/operators/watch.rs
@@ -10,7 +10,7 @@
 
 use super::number;
 use crate::config::store::Gone;
-use crate::config::{Entry, Record};
+use crate::config::{AuditEntry, Record};
 use crate::http::problem::Problem;
 use crate::http::{Request, Responder, Stream};
 use crate::node::{MAX_OPERATOR_REQUESTS, Node};
@@ -95,7 +95,7 @@
 }
 
 fn line(record: &Record) -> Value {
-    let entry = Entry::from(record);
+    let entry = AuditEntry::from(record);
     json!({
         "revision": entry.revision,
         "change": entry.id,
--- a/mimosashift/tests/config.rs
+++ b/mimosashift/tests/config.rs
@@ -7,7 +7,7 @@
 use mimosashift::config::catchup::CatchUp;
 use mimosashift::config::change::Commit;
 use mimosashift::config::load::Load;
-use mimosashift::config::{Change, ChangeId, Entry, Error, Precondition, Record, State};
+use mimosashift::config::{AuditEntry, Change, ChangeId, Error, Precondition, Record, State};
 use mimosashift::resource::{Kind, Spec};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -159,7 +159,7 @@
         commit(&table, team, &State::default()).unwrap();
     }
     let record = records(&table).pop().unwrap();
-    let shown = serde_json::to_string(&Entry::from(&record)).unwrap();
+    let shown = serde_json::to_string(&AuditEntry::from(&record)).unwrap();
     assert!(!shown.contains(&digest) && shown.contains("\"abababab\""), "{shown}");
     let mut bytes = [0; 32];
     hex::decode_to_slice(&digest, &mut bytes).unwrap();
