--- a/mimosashift/src/config/phase.rs
+++ b/mimosashift/src/config/phase.rs
@@ -30,11 +30,11 @@
 
 /// Why a router does not serve yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum NotServingReason {
     /// Other routers may still be heard.
-    Listening,
+    DiscoveringPeers,
     /// The table has not been asked yet.
-    Asking,
+    QueryingTable,
     /// A peer holds a higher revision, which is being fetched.
     Behind {
         /// Revision installed.
@@ -43,7 +43,7 @@
         wanted: u64,
     },
     /// Neither the table nor a peer has answered with a configuration.
-    Nothing,
+    NoSource,
 }
 
 impl Router<Starting> {
@@ -62,20 +62,20 @@
     }
 
     /// Why it does not serve yet, `None` when it may.
-    pub fn reason(&self, now: Instant, peers: &[Peer]) -> Option<Reason> {
+    pub fn reason(&self, now: Instant, peers: &[Peer]) -> Option<NotServingReason> {
         let installed = self.replicator.store().version().revision;
         let wanted = peers.iter().map(|peer| peer.version.revision).max().unwrap_or_default();
         if now.since(self.phase.since) < LISTEN {
-            return Some(Reason::Listening);
+            return Some(NotServingReason::DiscoveringPeers);
         }
         if installed < wanted {
-            return Some(Reason::Behind { installed, wanted });
+            return Some(NotServingReason::Behind { installed, wanted });
         }
         if self.replicator.polls() == 0 {
-            return Some(Reason::Asking);
+            return Some(NotServingReason::QueryingTable);
         }
         let nothing = installed == 0 && self.replicator.polled().is_none();
-        nothing.then_some(Reason::Nothing)
+        nothing.then_some(NotServingReason::NoSource)
     }
 }
 
@@ -98,15 +98,15 @@
     }
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for NotServingReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Listening => f.write_str("listening for other routers"),
-            Self::Asking => f.write_str("asking the table for the configuration"),
+            Self::DiscoveringPeers => f.write_str("listening for other routers"),
+            Self::QueryingTable => f.write_str("asking the table for the configuration"),
             Self::Behind { installed, wanted } => {
                 write!(f, "revision {installed} is installed, fetching {wanted} from a router")
             }
-            Self::Nothing => {
+            Self::NoSource => {
                 f.write_str("neither the table nor a router has answered with a configuration")
             }
         }
--- a/mimosashift/src/node/cluster/life.rs
+++ b/mimosashift/src/node/cluster/life.rs
@@ -1,7 +1,7 @@
 //! The configuration of a router in whichever phase it is.
 
 use crate::config::Replicator;
-use crate::config::phase::{Reason, Router, Serving, Starting};
+use crate::config::phase::{NotServingReason, Router, Serving, Starting};
 use crate::config::replication::Peer;
 use crate::resource::Name;
 use crate::time::Instant;
@@ -37,10 +37,12 @@
     }
 
     /// Why the router may not serve yet, `None` when it does.
-    pub fn reason(&self, now: Instant, peers: &[Peer]) -> Option<Reason> {
+    pub fn reason(&self, now: Instant, peers: &[Peer]) -> Option<NotServingReason> {
         match self.phase() {
             // It serves from the next tick on.
-            Phase::Starting(router) => Some(router.reason(now, peers).unwrap_or(Reason::Asking)),
+            Phase::Starting(router) => {
+                Some(router.reason(now, peers).unwrap_or(NotServingReason::QueryingTable))
+            }
             Phase::Serving(_) => None,
         }
     }
--- a/mimosashift/src/node/cluster/mod.rs
+++ b/mimosashift/src/node/cluster/mod.rs
@@ -14,7 +14,7 @@
 
 use super::{Error, Node, Settings};
 use crate::admit::share;
-use crate::config::phase::Reason;
+use crate::config::phase::NotServingReason;
 use crate::config::poll::Poll;
 use crate::config::replication::{Action, Peer};
 use crate::config::store::Gone;
@@ -103,7 +103,7 @@
     }
 
     /// Why the router may not serve yet, `None` when it may.
-    pub fn reason(&self, now: Instant) -> Option<Reason> {
+    pub fn reason(&self, now: Instant) -> Option<NotServingReason> {
         let shared = self.lock();
         shared.life.reason(now, &shared.membership.peers(now))
     }
--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -8,7 +8,7 @@
 use mimosashift::config::catchup::Progress;
 use mimosashift::config::change::Commit;
 use mimosashift::config::load::Load;
-use mimosashift::config::phase::{Reason, Router, Serving, Starting};
+use mimosashift::config::phase::{NotServingReason, Router, Serving, Starting};
 use mimosashift::config::poll::Poll;
 use mimosashift::config::replication::{Action, Peer, Replicator};
 use mimosashift::config::transfer::Reply;
@@ -377,7 +377,7 @@
     }
 
     /// Why it does not serve.
-    pub fn reason(&self, now: Instant) -> Option<Reason> {
+    pub fn reason(&self, now: Instant) -> Option<NotServingReason> {
         match &self.life {
             Life::Starting(router) => router.reason(now, &self.membership.peers(now)),
             Life::Serving(_) => None,
--- a/mimosashift/tests/spread.rs
+++ b/mimosashift/tests/spread.rs
@@ -7,7 +7,7 @@
 use fake::change;
 use fake::cluster::Cluster;
 use mimosashift::config::Error;
-use mimosashift::config::phase::{Reason, Router};
+use mimosashift::config::phase::{NotServingReason, Router};
 use mimosashift::config::store::Gone;
 use mimosashift::resource::Kind;
 use rand::{RngExt, SeedableRng};
@@ -160,7 +160,7 @@
     cluster.table.with(|inner| inner.down = true);
     cluster.run(START).unwrap();
     for node in &cluster.nodes {
-        assert_eq!(node.reason(cluster.now), Some(Reason::Nothing));
+        assert_eq!(node.reason(cluster.now), Some(NotServingReason::NoSource));
     }
     cluster.table.with(|inner| inner.down = false);
     cluster.run(START).unwrap();
@@ -209,7 +209,7 @@
     let node = cluster.nodes[0].membership.own().node.clone();
     let starting = Router::new(node, cluster.now);
     let later = cluster.now + START;
-    let behind = Reason::Behind { installed: 0, wanted: 1 };
+    let behind = NotServingReason::Behind { installed: 0, wanted: 1 };
     assert_eq!(starting.reason(later, &peers), Some(behind));
     assert!(starting.serve(later, &peers).is_err());
 }
