--- a/mimosashift/src/config/change.rs
+++ b/mimosashift/src/config/change.rs
@@ -14,7 +14,7 @@
 use crate::resource::{Kind, Name, Resource, Spec};
 
 /// Most transactions sent for one change.
-const MAX_TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
 /// Most bytes of a specification as JSON, so that a record with the one before
 /// and the one after fits a frame between routers.
@@ -82,7 +82,7 @@
     phase: Phase,
     /// What was read so far; the next transaction builds on its state.
     read: Progress,
-    tries: u32,
+    attempts: u32,
     /// Table revision of the row `head` that the last transaction checks.
     base: u64,
     /// Whether an earlier transaction may have taken effect or still may.
@@ -91,7 +91,7 @@
     /// transaction.
     settled_at: u64,
     /// The last change by someone else that was seen.
-    winner: Option<Record>,
+    last_other_change: Option<Record>,
 }
 
 #[derive(Debug)]
@@ -115,11 +115,11 @@
             change,
             phase: Phase::Lookup,
             read: Progress::from(installed),
-            tries: 0,
+            attempts: 0,
             base: 0,
             in_doubt: false,
             settled_at: 0,
-            winner: None,
+            last_other_change: None,
         }
     }
 
@@ -160,7 +160,7 @@
             && record.after == self.change.spec;
         if !same {
             self.in_doubt = false;
-            return Err(Error::Reused(self.change.id));
+            return Err(Error::ChangeIdReused(self.change.id));
         }
         Ok(Step::Done(Committed { revision, progress: self.read.clone() }))
     }
@@ -175,7 +175,7 @@
     fn on_caught_up(&mut self, progress: Progress) -> Next {
         let table_revision = progress.head.table_revision.unwrap_or_default();
         if table_revision < self.settled_at {
-            return Err(Error::Lagging { seen: self.settled_at, read: table_revision });
+            return Err(Error::StaleRead { seen: self.settled_at, read: table_revision });
         }
         self.read.state = progress.state;
         self.read.records.extend(progress.records.iter().cloned());
@@ -185,9 +185,10 @@
         }
         // The head moved past the transaction in doubt without its record.
         self.in_doubt = false;
-        self.winner = progress.records.into_iter().next_back().or(self.winner.take());
+        self.last_other_change =
+            progress.records.into_iter().next_back().or(self.last_other_change.take());
         self.base = table_revision;
-        if self.tries == MAX_TRIES {
+        if self.attempts == MAX_ATTEMPTS {
             return Err(self.contended());
         }
         self.check()?;
@@ -204,7 +205,7 @@
         let Phase::Commit { transaction, .. } = &self.phase else {
             unreachable!("only the commit phase sends")
         };
-        self.tries += 1;
+        self.attempts += 1;
         Step::Call(Call::Commit(transaction.clone()))
     }
 
@@ -219,7 +220,7 @@
                 let revision = record.revision;
                 Ok(Step::Done(Committed { revision, progress: self.read.clone() }))
             }
-            Outcome::Unknown if self.tries < MAX_TRIES => {
+            Outcome::Unknown if self.attempts < MAX_ATTEMPTS => {
                 // The same transaction again: its checks let it apply once.
                 self.in_doubt = true;
                 Ok(self.send())
@@ -257,9 +258,10 @@
             Precondition::Revision(revision) => found == Some(revision),
         };
         if !holds {
-            let by = self.winner.as_ref().filter(|w| w.kind == *kind && w.name == *name);
-            let by = by.map(|winner| winner.operator.clone());
-            return Err(Error::Precondition { kind: *kind, name: name.clone(), found, by });
+            let last =
+                self.last_other_change.as_ref().filter(|r| r.kind == *kind && r.name == *name);
+            let changed_by = last.map(|record| record.operator.clone());
+            return Err(Error::Precondition { kind: *kind, name: name.clone(), found, changed_by });
         }
         match &self.change.spec {
             Some(spec) if spec.to_json().to_string().len() > MAX_SPEC_BYTES => {
@@ -311,11 +313,11 @@
     }
 
     fn contended(&self) -> Error {
-        let winner = self.winner.as_ref();
+        let last = self.last_other_change.as_ref();
         Error::Contended {
-            tries: self.tries,
-            winner: winner.map(|w| w.operator.clone()).unwrap_or_default(),
-            revision: winner.map(|w| w.revision).unwrap_or_default(),
+            attempts: self.attempts,
+            last_operator: last.map(|record| record.operator.clone()).unwrap_or_default(),
+            revision: last.map(|record| record.revision).unwrap_or_default(),
         }
     }
 }
--- a/mimosashift/src/config/mod.rs
+++ b/mimosashift/src/config/mod.rs
@@ -39,7 +39,7 @@
             display("table `config` refused the call, nothing changed: {:?}", refusal)
         }
         /// A row cannot be read.
-        Row { key: String, reason: String } {
+        InvalidRow { key: String, reason: String } {
             display("row {:?} of table `config`: {}", key, reason)
         }
         /// The table answers from before what is installed: it lags or was
@@ -51,7 +51,7 @@
             )
         }
         /// A read answers from before a conflict that the table reported.
-        Lagging { seen: u64, read: u64 } {
+        StaleRead { seen: u64, read: u64 } {
             display("row `head` reads at table revision {}, {} was seen before", read, seen)
         }
         /// A record does not follow what is installed.
@@ -68,8 +68,11 @@
             display("the resources read do not add up to revision {}", revision)
         }
         /// The resource is not as the operator's precondition says.
-        Precondition { kind: Kind, name: Name, found: Option<u64>, by: Option<String> } {
-            display("{} {:?} {}{}", kind, name.as_str(), standing(*found), changed_by(by.as_deref()))
+        Precondition { kind: Kind, name: Name, found: Option<u64>, changed_by: Option<String> } {
+            display(
+                "{} {:?} {}{}",
+                kind, name.as_str(), found_text(*found), changed_by_text(changed_by.as_deref())
+            )
         }
         /// The change breaks a rule on resources.
         Resource(error: resource::Error) {
@@ -81,14 +84,14 @@
             display("the specification has more than {} bytes", limit)
         }
         /// Other operators' changes came first in every try.
-        Contended { tries: u32, winner: String, revision: u64 } {
+        Contended { attempts: u32, last_operator: String, revision: u64 } {
             display(
                 "lost to other changes in {} tries, last to {:?} at revision {}",
-                tries, winner, revision
+                attempts, last_operator, revision
             )
         }
         /// The change's identifier already stands for a different change.
-        Reused(id: ChangeId) {
+        ChangeIdReused(id: ChangeId) {
             display("change id {} already belongs to another change", id)
         }
         /// The change may or may not have taken effect; its identifier finds
@@ -99,19 +102,22 @@
     }
 }
 
-/// Where a resource stands, for operators.
-fn standing(found: Option<u64>) -> String {
+/// States at which revision a resource was found, if any.
+fn found_text(found: Option<u64>) -> String {
     found.map_or("does not exist".to_owned(), |revision| format!("stands at revision {revision}"))
 }
 
-/// Who changed a resource last, as far as the change itself was seen.
-fn changed_by(by: Option<&str>) -> String {
+/// Names the operator of the last change, if this router read its record.
+fn changed_by_text(by: Option<&str>) -> String {
     by.map_or("; the audit trail says by whom".to_owned(), |by| format!(", changed by {by:?}"))
 }
 
 impl Error {
     fn missing_record(revision: u64) -> Self {
-        Self::Row { key: row::log(revision).key, reason: "the row does not exist".to_owned() }
+        Self::InvalidRow {
+            key: row::log(revision).key,
+            reason: "the row does not exist".to_owned(),
+        }
     }
 
     /// Whether the change certainly did not take effect.
--- a/mimosashift/src/config/row.rs
+++ b/mimosashift/src/config/row.rs
@@ -80,7 +80,7 @@
 /// Decodes the value of a row.
 pub(super) fn decode<T: DeserializeOwned>(row: &Row) -> Result<T, Error> {
     serde_json::from_str(&row.value)
-        .map_err(|e| Error::Row { key: row.key.key.clone(), reason: e.to_string() })
+        .map_err(|e| Error::InvalidRow { key: row.key.key.clone(), reason: e.to_string() })
 }
 
 /// Encodes the value of a row.
--- a/mimosashift/src/node/operators/commands.rs
+++ b/mimosashift/src/node/operators/commands.rs
@@ -74,7 +74,7 @@
         config::Error::Precondition { .. } | config::Error::Contended { .. } => {
             (StatusCode::PRECONDITION_FAILED, "conflict")
         }
-        config::Error::Resource(_) | config::Error::Reused(_) => {
+        config::Error::Resource(_) | config::Error::ChangeIdReused(_) => {
             (StatusCode::UNPROCESSABLE_ENTITY, "invalid")
         }
         config::Error::Unknown(_) => (StatusCode::SERVICE_UNAVAILABLE, "change-unknown"),
--- a/mimosashift/tests/config.rs
+++ b/mimosashift/tests/config.rs
@@ -54,7 +54,7 @@
     let table = Fake::default();
     commit(&table, change(7, "urgent", 0), &State::default()).unwrap();
     let other = commit(&table, change(7, "urgent", 1), &State::default());
-    assert_eq!(other, Err(Error::Reused(ChangeId(7))));
+    assert_eq!(other, Err(Error::ChangeIdReused(ChangeId(7))));
 }
 
 #[test]
@@ -91,10 +91,12 @@
         let winner = records(&table).pop().unwrap();
         assert_eq!(results.iter().filter(|r| **r == Ok(2)).count(), 1, "seed {seed}: {results:?}");
         for lost in results.iter().filter(|r| r.is_err()) {
-            let Err(Error::Precondition { found: Some(2), by: Some(by), .. }) = lost else {
+            let Err(Error::Precondition { found: Some(2), changed_by: Some(changed_by), .. }) =
+                lost
+            else {
                 panic!("seed {seed}: {lost:?}");
             };
-            assert_eq!(*by, winner.operator, "seed {seed}");
+            assert_eq!(*changed_by, winner.operator, "seed {seed}");
         }
     }
 }
@@ -118,7 +120,8 @@
             Step::Done(result) => break result,
         }
     };
-    let expected = Error::Contended { tries: 8, winner: format!("operator-{id}"), revision: 9 };
+    let expected =
+        Error::Contended { attempts: 8, last_operator: format!("operator-{id}"), revision: 9 };
     assert_eq!(result, Err(expected));
 }
 
