--- a/mimosabench/src/policy/fleet.rs
+++ b/mimosabench/src/policy/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use mimosashift::resource::{
-    Endpoint, Engine, Holding, Layers, Name, Pipeline, Resource, Role, Snapshot, Spec,
+    Endpoint, Engine, Layers, ModelLayers, Name, Pipeline, Resource, Role, Snapshot, Spec,
 };
 use mimosashift::route::Distances;
 use rand::RngExt;
@@ -178,7 +178,7 @@
         slots: SLOTS,
         link_us,
         link_bytes_per_second,
-        holds: smallvec![Holding { pipeline: pipeline.clone(), version: VERSION, layers }],
+        holds: smallvec![ModelLayers { pipeline: pipeline.clone(), version: VERSION, layers }],
         checks_fencing: true,
     };
     Endpoint {
--- a/mimosabench/src/slopes/placement.rs
+++ b/mimosabench/src/slopes/placement.rs
@@ -3,7 +3,7 @@
 use mimosashift::order::Target;
 use mimosashift::order::dispatch::Dispatch;
 use mimosashift::order::placement::{Candidate, Policy, Range, host, plan};
-use mimosashift::resource::{Holding, Layers};
+use mimosashift::resource::{Layers, ModelLayers};
 
 use super::series::series;
 use super::{Series, cpu, fleet, memory};
@@ -51,6 +51,6 @@
 fn dispatch() -> Dispatch {
     let layers = Layers::try_from((0, 20)).expect("the range has layers");
     let mut dispatch = Dispatch::new(true);
-    dispatch.want(Target::Load(Holding { pipeline: fleet::name("model"), version: 1, layers }));
+    dispatch.want(Target::Load(ModelLayers { pipeline: fleet::name("model"), version: 1, layers }));
     dispatch
 }
--- a/mimosashift/src/order/mod.rs
+++ b/mimosashift/src/order/mod.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::resource::{Holding, Name};
+use crate::resource::{ModelLayers, Name};
 
 pub mod dispatch;
 pub mod lease;
@@ -21,9 +21,9 @@
 #[serde(rename_all = "lowercase")]
 pub enum Target {
     /// Hold these layers of this model and version.
-    Load(Holding),
+    Load(ModelLayers),
     /// Do not hold them.
-    Unload(Holding),
+    Unload(ModelLayers),
     /// Hold this adapter.
     Adapter(Name),
     /// Serve in this role.
--- a/mimosashift/src/resource/mod.rs
+++ b/mimosashift/src/resource/mod.rs
@@ -18,7 +18,7 @@
 pub use layers::Layers;
 pub use name::{MAX_NAME_BYTES, Name};
 pub use snapshot::Snapshot;
-pub use spec::{Endpoint, Engine, Holding, Pipeline, Priority, Role, Route, Service, Team};
+pub use spec::{Endpoint, Engine, ModelLayers, Pipeline, Priority, Role, Route, Service, Team};
 
 quick_error! {
     /// Why a resource was not accepted.
--- a/mimosashift/src/resource/spec.rs
+++ b/mimosashift/src/resource/spec.rs
@@ -133,7 +133,7 @@
     #[serde(default = "default_link_bytes")]
     pub link_bytes_per_second: u64,
     /// Layers it holds, one entry per model and version.
-    pub holds: SmallVec<[Holding; 2]>,
+    pub holds: SmallVec<[ModelLayers; 2]>,
     /// Whether it refuses an order with an old fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
@@ -142,7 +142,7 @@
 /// Layers of one version of a model, held by an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Holding {
+pub struct ModelLayers {
     /// The model.
     pub pipeline: Name,
     /// Its version.
--- a/mimosastandin/src/engine.rs
+++ b/mimosastandin/src/engine.rs
@@ -12,7 +12,7 @@
 use mimosashift::engine::{Failure, Input, Label, Load, Output, RequestId, Step};
 use mimosashift::http::client::{Call, Client};
 use mimosashift::http::{Handler, Request, Responder, Server, Settings};
-use mimosashift::resource::{Engine, Holding, Name};
+use mimosashift::resource::{Engine, ModelLayers, Name};
 use serde::{Deserialize, Serialize};
 use ureq::http::{Method, StatusCode};
 
@@ -160,7 +160,7 @@
 
     fn check(&self, step: &Step) -> Result<(), Failure> {
         let label = &step.label;
-        let held = |h: &Holding| {
+        let held = |h: &ModelLayers| {
             h.pipeline == label.pipeline
                 && h.version == label.version
                 && h.layers.contains(label.layers)
