--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -111,7 +111,7 @@
     /// Whether orders may be given now. Endpoints refuse an order whose count
     /// is not theirs, so a lease that was taken over early is no danger.
     fn holds(&self) -> bool {
-        let authority = self.lease.as_ref().and_then(|l| l.authority(true, clock::now()));
+        let authority = self.lease.as_ref().and_then(|l| l.authorize(true, clock::now()));
         authority.is_some() && !self.front.stopping.get() && !self.yields()
     }
 
@@ -127,7 +127,7 @@
     async fn renew(&mut self) {
         let front = self.front.clone();
         let now = clock::now();
-        let held = self.lease.as_ref().is_some_and(|lease| lease.authority(true, now).is_some());
+        let held = self.lease.as_ref().is_some_and(|lease| lease.authorize(true, now).is_some());
         let peer_leads = front.peers.borrow().alive(now).any(|peer| peer.digest.leads);
         if front.stopping.get() || (!held && peer_leads) {
             self.note_lead(held && !front.stopping.get());
@@ -154,7 +154,7 @@
         if let Some(transaction) = lease.write(suspected, now) {
             let outcome = front.store.commit(&transaction).await;
             note(&front, PlatformCall::Commit, &outcome);
-            lease.committed(&outcome, clock::now());
+            lease.on_write_result(&outcome, clock::now());
         }
         let holds = self.holds();
         self.note_lead(holds);
@@ -166,7 +166,7 @@
         }
         self.front.meter.leases(u64::from(leads));
         if leads {
-            let number = self.lease.as_ref().and_then(|l| l.authority(true, clock::now()));
+            let number = self.lease.as_ref().and_then(|l| l.authorize(true, clock::now()));
             emit!(self.front.log, Event::LeaseTaken, "fencing_token" => number.map(|n| n.0));
         } else {
             emit!(self.front.log, Event::LeaseLost, "stopping" => self.front.stopping.get());
@@ -314,7 +314,7 @@
     }
 
     async fn order(&mut self, hop: &Hop, after: u64) {
-        let authority = self.lease.as_ref().and_then(|l| l.authority(true, clock::now()));
+        let authority = self.lease.as_ref().and_then(|l| l.authorize(true, clock::now()));
         let Some(number) = authority else { return };
         let order = Order::Place { layers: hop.layers, after, fencing_token: number.0 };
         let call = wire::order_call(hop.address, &hop.id, &order);
--- a/mimosashift/src/order/dispatch.rs
+++ b/mimosashift/src/order/dispatch.rs
@@ -55,7 +55,7 @@
         if !self.observed {
             return None;
         }
-        let number = lease.authority(self.checks_fencing, now)?;
+        let number = lease.authorize(self.checks_fencing, now)?;
         let open = self.open.iter_mut().find(|open| open.sent_at.is_none())?;
         open.sent_at = Some(now);
         Some(Order { number, target: open.target.clone() })
--- a/mimosashift/src/order/lease.rs
+++ b/mimosashift/src/order/lease.rs
@@ -120,7 +120,7 @@
     /// that does or does not check it.
     ///
     /// Call it directly before each send.
-    pub fn authority(&self, endpoint_checks: bool, now: Instant) -> Option<FencingNumber> {
+    pub fn authorize(&self, endpoint_checks: bool, now: Instant) -> Option<FencingNumber> {
         let held = self.held.as_ref()?;
         let in_time = now < held.begun + self.settings.usable();
         let unopposed = endpoint_checks || now >= held.unfenced_from;
@@ -163,7 +163,7 @@
     }
 
     /// Takes in the outcome of the write.
-    pub fn committed(&mut self, outcome: &Outcome<u64>, now: Instant) {
+    pub fn on_write_result(&mut self, outcome: &Outcome<u64>, now: Instant) {
         let Some(pending) = self.pending.take() else {
             return;
         };
--- a/mimosashift/tests/common/lease_world.rs
+++ b/mimosashift/tests/common/lease_world.rs
@@ -111,7 +111,7 @@
                 next.faults_left -= 1;
             }
             next.routers[index].writing = None;
-            next.routers[index].lease.committed(&outcome, next.now);
+            next.routers[index].lease.on_write_result(&outcome, next.now);
             out.push(next);
         };
         step(true, true, false);
@@ -147,7 +147,7 @@
     fn with_orders(mut self) -> Self {
         let assumed = self.endpoint_checks || self.mistake == Mistake::NoWaitForUncheckedEndpoint;
         for (index, router) in self.routers.iter_mut().enumerate() {
-            if let Some(number) = router.lease.authority(assumed, self.now) {
+            if let Some(number) = router.lease.authorize(assumed, self.now) {
                 router.order = Some((number, self.now + MAX_WAY));
                 if !self.numbers.iter().any(|(known, _)| *known == number) {
                     self.numbers.push((number, index));
@@ -180,7 +180,7 @@
     }
 
     fn violation(&self) -> Option<String> {
-        let valid = |r: &Router| r.lease.authority(false, self.now).is_some();
+        let valid = |r: &Router| r.lease.authorize(false, self.now).is_some();
         if self.routers.iter().all(valid) {
             return Some("two holders at once".to_owned());
         }
--- a/mimosashift/tests/order.rs
+++ b/mimosashift/tests/order.rs
@@ -38,15 +38,15 @@
 fn held() -> (Lease, Row) {
     let mut a = lease("a");
     let write = a.write(false, secs(0)).unwrap();
-    a.committed(&Outcome::Done(1), secs(3));
+    a.on_write_result(&Outcome::Done(1), secs(3));
     (a, written(&write, 1))
 }
 
 #[test]
 fn lease_counts_from_before_the_write() {
     let (a, _) = held();
-    assert_eq!(a.authority(true, secs(6)), Some(FencingNumber(1)));
-    assert_eq!(a.authority(true, secs(7)), None);
+    assert_eq!(a.authorize(true, secs(6)), Some(FencingNumber(1)));
+    assert_eq!(a.authorize(true, secs(7)), None);
 }
 
 /// Many routers look at a lease that one of them has just taken; none may take
@@ -72,26 +72,26 @@
     assert_eq!(b.write(false, secs(14)), None, "the old lease may still run");
     let write = b.write(true, secs(5)).unwrap();
     assert_eq!(write.checks, [Check::Revision(b.key().clone(), 1)]);
-    b.committed(&Outcome::Done(2), secs(5));
-    assert_eq!(b.authority(true, secs(6)), Some(FencingNumber(2)));
-    assert_eq!(b.authority(false, secs(6)), None);
+    b.on_write_result(&Outcome::Done(2), secs(5));
+    assert_eq!(b.authorize(true, secs(6)), Some(FencingNumber(2)));
+    assert_eq!(b.authorize(false, secs(6)), None);
     let renewal = b.write(false, secs(10)).unwrap();
     assert_eq!(renewal.checks, [Check::Revision(b.key().clone(), 2)]);
-    b.committed(&Outcome::Done(3), secs(10));
-    assert_eq!(b.authority(false, secs(14)), None);
-    assert_eq!(b.authority(false, secs(15)), Some(FencingNumber(2)));
+    b.on_write_result(&Outcome::Done(3), secs(10));
+    assert_eq!(b.authorize(false, secs(14)), None);
+    assert_eq!(b.authorize(false, secs(15)), Some(FencingNumber(2)));
 }
 
 #[test]
 fn lost_renewal_is_repeated_and_recognised() {
     let (mut a, _) = held();
     let write = a.write(false, secs(4)).unwrap();
-    a.committed(&Outcome::Unknown, secs(5));
+    a.on_write_result(&Outcome::Unknown, secs(5));
     assert_eq!(a.write(false, secs(6)).as_ref(), Some(&write));
     let landed = written(&write, 2);
-    a.committed(&Outcome::NotDone(Refusal::Conflict(Some(landed))), secs(6));
-    assert_eq!(a.authority(true, secs(10)), Some(FencingNumber(1)));
-    assert_eq!(a.authority(true, secs(11)), None, "counted from the first write");
+    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(landed))), secs(6));
+    assert_eq!(a.authorize(true, secs(10)), Some(FencingNumber(1)));
+    assert_eq!(a.authorize(true, secs(11)), None, "counted from the first write");
 }
 
 #[test]
@@ -101,8 +101,8 @@
     b.observe(Some(&row), secs(1));
     let theirs = written(&b.write(true, secs(1)).unwrap(), 2);
     a.write(false, secs(4)).unwrap();
-    a.committed(&Outcome::NotDone(Refusal::Conflict(Some(theirs))), secs(4));
-    assert_eq!(a.authority(true, secs(4)), None);
+    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(theirs))), secs(4));
+    assert_eq!(a.authorize(true, secs(4)), None);
 }
 
 #[test]
