--- a/mimosabench/src/slopes/placement.rs
+++ b/mimosabench/src/slopes/placement.rs
@@ -1,7 +1,7 @@
 //! Orders and the placement of copies.
 
 use mimosashift::order::Target;
-use mimosashift::order::dispatch::Dispatch;
+use mimosashift::order::dispatch::OrderQueue;
 use mimosashift::order::placement::{Candidate, Policy, Range, host, plan};
 use mimosashift::resource::{Layers, ModelLayers};
 
@@ -48,9 +48,13 @@
     }
 }
 
-fn dispatch() -> Dispatch {
+fn dispatch() -> OrderQueue {
     let layers = Layers::try_from((0, 20)).expect("the range has layers");
-    let mut dispatch = Dispatch::new(true);
-    dispatch.want(Target::Load(ModelLayers { pipeline: fleet::name("model"), version: 1, layers }));
+    let mut dispatch = OrderQueue::new(true);
+    dispatch.enqueue(Target::Load(ModelLayers {
+        pipeline: fleet::name("model"),
+        version: 1,
+        layers,
+    }));
     dispatch
 }
--- a/mimosashift/src/order/dispatch.rs
+++ b/mimosashift/src/order/dispatch.rs
@@ -11,7 +11,7 @@
 
 /// The orders for one endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Dispatch {
+pub struct OrderQueue {
     checks_fencing: bool,
     observed: bool,
     open: Vec<Open>,
@@ -23,14 +23,14 @@
     sent_at: Option<Instant>,
 }
 
-impl Dispatch {
+impl OrderQueue {
     /// No orders for an endpoint that does or does not check fencing numbers.
     pub const fn new(checks_fencing: bool) -> Self {
         Self { checks_fencing, observed: false, open: Vec::new() }
     }
 
     /// Asks for `target` to be reached, unless it is asked for already.
-    pub fn want(&mut self, target: Target) {
+    pub fn enqueue(&mut self, target: Target) {
         if !self.open.iter().any(|open| open.target == target) {
             self.open.push(Open { target, sent_at: None });
         }
--- a/mimosashift/tests/order.rs
+++ b/mimosashift/tests/order.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mimosashift::order::dispatch::{Dispatch, MIN_REPEAT};
+use mimosashift::order::dispatch::{MIN_REPEAT, OrderQueue};
 use mimosashift::order::lease::{Lease, Settings};
 use mimosashift::order::pace::Pacer;
 use mimosashift::order::placement::{Candidate, Policy, Range, host, plan};
@@ -108,22 +108,22 @@
 #[test]
 fn order_is_repeated_only_after_a_late_report() {
     let (a, _) = held();
-    let mut dispatch = Dispatch::new(true);
-    dispatch.want(Target::Role(name("decode")));
-    dispatch.want(Target::Role(name("decode")));
-    assert_eq!(dispatch.len(), 1);
-    assert_eq!(dispatch.next(&a, secs(1)), None, "not observed yet");
-    dispatch.observe(secs(0), |_| false);
-    let order = dispatch.next(&a, secs(1)).unwrap();
+    let mut queue = OrderQueue::new(true);
+    queue.enqueue(Target::Role(name("decode")));
+    queue.enqueue(Target::Role(name("decode")));
+    assert_eq!(queue.len(), 1);
+    assert_eq!(queue.next(&a, secs(1)), None, "not observed yet");
+    queue.observe(secs(0), |_| false);
+    let order = queue.next(&a, secs(1)).unwrap();
     assert_eq!(order.number, FencingNumber(1));
-    assert_eq!(dispatch.next(&a, secs(2)), None);
-    dispatch.observe(secs(60), |_| false);
-    assert_eq!(dispatch.next(&a, secs(2)), None, "the report may be from before");
-    dispatch.observe(secs(1) + MIN_REPEAT, |_| false);
-    assert_eq!(dispatch.next(&a, secs(8)), None, "the lease has ended");
-    assert!(dispatch.next(&a, secs(2)).is_some());
-    dispatch.observe(secs(3), |_| true);
-    assert!(dispatch.is_empty());
+    assert_eq!(queue.next(&a, secs(2)), None);
+    queue.observe(secs(60), |_| false);
+    assert_eq!(queue.next(&a, secs(2)), None, "the report may be from before");
+    queue.observe(secs(1) + MIN_REPEAT, |_| false);
+    assert_eq!(queue.next(&a, secs(8)), None, "the lease has ended");
+    assert!(queue.next(&a, secs(2)).is_some());
+    queue.observe(secs(3), |_| true);
+    assert!(queue.is_empty());
 }
 
 #[test]
