--- a/mimosashift/src/config/phase.rs
+++ b/mimosashift/src/config/phase.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 use std::time::Duration;
 
-use super::Spread;
-use super::spread::Peer;
+use super::Replicator;
+use super::replication::Peer;
 use crate::resource::{Name, Snapshot};
 use crate::time::Instant;
 
@@ -14,7 +14,7 @@
 /// The configuration of a router in one phase of its life.
 #[derive(Debug)]
 pub struct Router<Phase> {
-    spread: Box<Spread>,
+    replicator: Box<Replicator>,
     phase: Phase,
 }
 
@@ -30,11 +30,11 @@
 
 /// Why a router does not serve yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum NotServingReason {
     /// Other routers may still be heard.
-    Listening,
+    DiscoveringPeers,
     /// The table has not been asked yet.
-    Asking,
+    QueryingTable,
     /// A peer holds a higher revision, which is being fetched.
     Behind {
         /// Revision installed.
@@ -43,13 +43,13 @@
         wanted: u64,
     },
     /// Neither the table nor a peer has answered with a configuration.
-    Nothing,
+    NoSource,
 }
 
 impl Router<Starting> {
     /// Starts with nothing installed.
     pub fn new(node: Name, now: Instant) -> Self {
-        Self { spread: Box::new(Spread::new(node)), phase: Starting { since: now } }
+        Self { replicator: Box::new(Replicator::new(node)), phase: Starting { since: now } }
     }
 
     /// Serves once the highest revision that the reachable peers and the
@@ -57,56 +57,56 @@
     pub fn serve(self, now: Instant, peers: &[Peer]) -> Result<Router<Serving>, Self> {
         match self.reason(now, peers) {
             Some(_) => Err(self),
-            None => Ok(Router { spread: self.spread, phase: Serving(()) }),
+            None => Ok(Router { replicator: self.replicator, phase: Serving(()) }),
         }
     }
 
     /// Why it does not serve yet, `None` when it may.
-    pub fn reason(&self, now: Instant, peers: &[Peer]) -> Option<Reason> {
-        let installed = self.spread.store().version().revision;
+    pub fn reason(&self, now: Instant, peers: &[Peer]) -> Option<NotServingReason> {
+        let installed = self.replicator.store().version().revision;
         let wanted = peers.iter().map(|peer| peer.version.revision).max().unwrap_or_default();
         if now.since(self.phase.since) < LISTEN {
-            return Some(Reason::Listening);
+            return Some(NotServingReason::DiscoveringPeers);
         }
         if installed < wanted {
-            return Some(Reason::Behind { installed, wanted });
+            return Some(NotServingReason::Behind { installed, wanted });
         }
-        if self.spread.polls() == 0 {
-            return Some(Reason::Asking);
+        if self.replicator.polls() == 0 {
+            return Some(NotServingReason::QueryingTable);
         }
-        let nothing = installed == 0 && self.spread.polled().is_none();
-        nothing.then_some(Reason::Nothing)
+        let nothing = installed == 0 && self.replicator.polled().is_none();
+        nothing.then_some(NotServingReason::NoSource)
     }
 }
 
 impl Router<Serving> {
     /// The snapshot to serve by.
     pub const fn snapshot(&self) -> &Snapshot {
-        self.spread.store().state().snapshot()
+        self.replicator.store().state().snapshot()
     }
 }
 
 impl<Phase> Router<Phase> {
     /// The exchange with the table and other routers.
-    pub const fn spread(&self) -> &Spread {
-        &self.spread
+    pub const fn replicator(&self) -> &Replicator {
+        &self.replicator
     }
 
     /// The exchange with the table and other routers, to drive it.
-    pub const fn spread_mut(&mut self) -> &mut Spread {
-        &mut self.spread
+    pub const fn replicator_mut(&mut self) -> &mut Replicator {
+        &mut self.replicator
     }
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for NotServingReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Listening => f.write_str("listening for other routers"),
-            Self::Asking => f.write_str("asking the table for the configuration"),
+            Self::DiscoveringPeers => f.write_str("listening for other routers"),
+            Self::QueryingTable => f.write_str("asking the table for the configuration"),
             Self::Behind { installed, wanted } => {
                 write!(f, "revision {installed} is installed, fetching {wanted} from a router")
             }
-            Self::Nothing => {
+            Self::NoSource => {
                 f.write_str("neither the table nor a router has answered with a configuration")
             }
         }
--- a/mimosashift/src/member/mod.rs
+++ b/mimosashift/src/member/mod.rs
@@ -14,7 +14,7 @@
 use smallvec::SmallVec;
 
 use crate::config::Version;
-use crate::config::spread::Peer;
+use crate::config::replication::Peer;
 use crate::resource::Name;
 use crate::time::Instant;
 use crate::wire::message::{Heartbeat, MAX_PAYLOAD_BYTES, Payload, Summary};
@@ -160,7 +160,7 @@
     pub fn peers(&self, now: Instant) -> Vec<Peer> {
         let peer = |member: &Member| Peer {
             node: member.heartbeat.node.clone(),
-            near: member.heartbeat.domain == self.own.domain,
+            same_domain: member.heartbeat.domain == self.own.domain,
             version: member.heartbeat.version,
             polled: member.polled,
         };
