--- a/mimosafront/src/front.rs
+++ b/mimosafront/src/front.rs
@@ -8,12 +8,12 @@
 
 use mimosaplatform::store::Store;
 use mimosashift::admit::pressure::MemoryPressure;
-use mimosashift::freshness::Freshness;
 use mimosashift::deployment::{Deployment, Node};
 use mimosashift::emit;
 use mimosashift::event::{Event, Logger};
 use mimosashift::exchange::Report;
 use mimosashift::fleet::{Fleet, Member, Observation};
+use mimosashift::freshness::Freshness;
 use mimosashift::link::{self, Pool};
 use mimosashift::meter::Meter;
 use mimosashift::peer::Peers;
--- a/mimosashift/src/peer/mod.rs
+++ b/mimosashift/src/peer/mod.rs
@@ -10,8 +10,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::freshness::PeerConfirmation;
 use crate::fleet::{Observation, Usage};
+use crate::freshness::PeerConfirmation;
 use crate::time::Instant;
 
 /// Shortest time between two digests to a peer of the own zone.
