--- a/mimosabench/src/policy/router.rs
+++ b/mimosabench/src/policy/router.rs
@@ -5,13 +5,13 @@
 
 use mimosashift::admit::{self, Admission, Bounds, Ticket};
 use mimosashift::engine::{Failure, RequestId, Step};
-use mimosashift::health::{self, Exchange, Registry, Standing, View};
+use mimosashift::health::{self, Availability, Exchange, HealthView, Registry};
 use mimosashift::pipeline::recovery::Cost;
 use mimosashift::pipeline::retry::{Budget, Share};
 use mimosashift::pipeline::{Context, Replacement, Request, Scope};
 use mimosashift::resource::{Name, Team};
 use mimosashift::route::affinity::{self, Affinity};
-use mimosashift::route::{Ask, Chain, Choice, Refusal, Settings, Sources, Stage, Table};
+use mimosashift::route::{Chain, Choice, Refusal, RouteRequest, Settings, Sources, Stage, Table};
 use mimosashift::time::Instant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -147,7 +147,8 @@
             .ok()?
             .chain;
         let health = &self.health;
-        let readable = |name: &Name| health.condition(name, now).standing != Standing::Unreachable;
+        let readable =
+            |name: &Name| health.condition(name, now).availability != Availability::Unreachable;
         let names = old.stages().iter().map(|stage| stage.endpoint.clone());
         let holders = names.filter(readable).collect();
         self.follow(held, chain.clone(), now);
@@ -171,24 +172,24 @@
             total: now.since(step.at),
             service: None,
         };
-        self.health.succeed(endpoint, &exchange, now);
+        self.health.record_success(endpoint, &exchange, now);
     }
 
     /// Notes a step without an answer.
     pub fn fail(&mut self, endpoint: &Name, failure: &Failure, sent: Instant, now: Instant) {
-        self.health.fail(endpoint, failure, sent, now, &mut self.rng);
+        self.health.record_failure(endpoint, failure, sent, now, &mut self.rng);
     }
 
     /// Takes in a load report that this router asked for.
     pub fn poll(&mut self, endpoint: &Name, load: &mimosashift::engine::Load, now: Instant) {
         self.polls += 1;
-        self.health.poll(endpoint, 1, load, self.polls, now);
+        self.health.record_poll(endpoint, 1, load, self.polls, now);
     }
 
     /// Ejects slow endpoints and forgets idle teams.
     pub fn sweep(&mut self, now: Instant) {
         self.admission.report(now, 0);
-        self.health.sweep(now, &mut self.rng);
+        self.health.eject_outliers(now, &mut self.rng);
     }
 
     fn choose(
@@ -199,7 +200,7 @@
         kept: &[Stage],
         now: Instant,
     ) -> Result<Choice, Refusal> {
-        let ask = Ask {
+        let ask = RouteRequest {
             pipeline: &fleet.pipeline,
             version: VERSION,
             prompt_tokens: request.prompt.len() as u32,
--- a/mimosabench/src/policy/run/routers.rs
+++ b/mimosabench/src/policy/run/routers.rs
@@ -34,7 +34,7 @@
         }
         let router = &mut self.routers[number];
         router.sweep(now);
-        let share = router.health.share(router.shared);
+        let share = router.health.reports_since(router.shared);
         router.shared = now;
         for other in up.into_iter().filter(|&other| other != number) {
             self.routers[other].health.merge(&share, now);
@@ -115,7 +115,7 @@
             return;
         }
         for router in self.routers.iter_mut().filter(|router| router.up) {
-            router.health.list(1, |name| hit.endpoints.contains(&fleet::number(name)));
+            router.health.apply_vm_list(1, |name| hit.endpoints.contains(&fleet::number(name)));
         }
     }
 }
--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -184,7 +184,7 @@
         }
     }
     unreadable.retain(|id, _| rows.iter().any(|row| row.key.key == *id));
-    let change = front.fleet.borrow_mut().observe(entries, lapsed_until, clock::now());
+    let change = front.fleet.borrow_mut().apply_directory(entries, lapsed_until, clock::now());
     let fleet = front.fleet.borrow();
     for id in &change.joined {
         let endpoint = fleet.get(id).map(|member| &member.endpoint);
@@ -192,7 +192,7 @@
         let (address, layers) = (e.address.to_string(), e.layers.map(|layers| layers.to_string()));
         emit!(front.log, Event::EndpointJoined, "endpoint" => &**id, "service" => &*e.service, "zone" => &*e.zone, "address" => address, "incarnation" => e.incarnation, "layers" => layers);
     }
-    for id in &change.moved {
+    for id in &change.layers_changed {
         let layers = fleet.get(id).and_then(|member| member.endpoint.layers);
         emit!(front.log, Event::EndpointPlaced, "endpoint" => &**id, "source" => "store", "layers" => layers.map(|layers| layers.to_string()));
     }
--- a/mimosafront/src/front.rs
+++ b/mimosafront/src/front.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use mimosaplatform::store::Store;
-use mimosashift::admit::pressure::Pressure;
-use mimosashift::currency::Currency;
+use mimosashift::admit::pressure::MemoryPressure;
 use mimosashift::deployment::{Deployment, Node};
 use mimosashift::emit;
 use mimosashift::event::{Event, Logger};
 use mimosashift::exchange::Report;
-use mimosashift::fleet::{Fleet, Member, Observed};
+use mimosashift::fleet::{Fleet, Member, Observation};
+use mimosashift::freshness::Freshness;
 use mimosashift::link::{self, Pool};
 use mimosashift::meter::Meter;
 use mimosashift::peer::Peers;
@@ -48,7 +48,7 @@
     /// Configuration in force, with its text for peers.
     pub deployment: RefCell<Option<Installed>>,
     /// When the configuration was last confirmed.
-    pub currency: Cell<Currency>,
+    pub currency: Cell<Freshness>,
     /// Endpoints.
     pub fleet: RefCell<Fleet>,
     /// Other routers.
@@ -56,7 +56,7 @@
     /// What endpoints answered that were asked whether they are alive.
     pub findings: RefCell<Findings>,
     /// How hard the engines are pressed.
-    pub pressure: RefCell<Pressure>,
+    pub pressure: RefCell<MemoryPressure>,
     /// Wakes every request when an endpoint is found dead or slow.
     pub faults: Notify,
     /// Wakes one request that waits for memory.
@@ -76,7 +76,7 @@
     /// When the directory was last read.
     pub directory_read: Cell<Option<Instant>>,
     /// What reports have changed lately, for peers.
-    pub observed: RefCell<Vec<(Instant, Observed)>>,
+    pub observed: RefCell<Vec<(Instant, Observation)>>,
     /// Whether this router holds the lease on placement.
     pub leads: Cell<bool>,
     /// Whether SIGTERM has arrived.
@@ -203,7 +203,7 @@
     /// Whether keys may be used.
     pub fn keys_are_current(&self) -> bool {
         let bound = self.node.borrow().bounds.revocation;
-        bound.is_none_or(|bound| self.currency.get().is_current(bound, clock::now()))
+        bound.is_none_or(|bound| self.currency.get().is_fresh(bound, clock::now()))
     }
 
     /// Counts a new request to a service, which earns it a part of a retry.
@@ -252,7 +252,7 @@
     pub fn take_report(&self, id: &str, report: &Report) {
         let is_slow = || self.fleet.borrow().get(id).is_some_and(Member::is_slow);
         let was_slow = is_slow();
-        let seen = self.fleet.borrow_mut().report(id, report, clock::now());
+        let seen = self.fleet.borrow_mut().apply_report(id, report, clock::now());
         let Some(seen) = seen else { return };
         if is_slow() && !was_slow {
             self.faults.notify_waiters();
@@ -264,21 +264,21 @@
     }
 
     /// Logs what was seen of an endpoint, and by whom.
-    pub fn log_observed(&self, id: &str, seen: &Observed, source: &str) {
+    pub fn log_observed(&self, id: &str, seen: &Observation, source: &str) {
         let layers = seen.layers.map(|layers| layers.to_string());
         emit!(self.log, Event::EndpointPlaced, "endpoint" => id, "source" => source, "layers" => layers, "pace" => seen.pace);
     }
 
     /// Leaves an endpoint out that gives no answer, and wakes those that use it.
     pub fn bury(&self, id: &str, reason: &str) {
-        self.fleet.borrow_mut().die(id, clock::now());
+        self.fleet.borrow_mut().mark_dead(id, clock::now());
         self.faults.notify_waiters();
         emit!(self.log, Event::EndpointDoubted, "endpoint" => id, "reason" => reason, "dead" => true);
     }
 
     /// Leaves an endpoint out for a while because it failed.
     pub fn doubt(&self, id: &str, reason: &str) {
-        self.fleet.borrow_mut().fail(id, clock::now());
+        self.fleet.borrow_mut().record_failure(id, clock::now());
         emit!(self.log, Event::EndpointDoubted, "endpoint" => id, "reason" => reason);
     }
 }
--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -8,7 +8,7 @@
 use mimosaplatform::config;
 use mimosashift::emit;
 use mimosashift::event::Event;
-use mimosashift::fleet::{Member, Observed};
+use mimosashift::fleet::{Member, Observation};
 use mimosashift::peer::{Config, Digest, Directory};
 use mimosashift::time::Instant;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -107,9 +107,9 @@
             .observed
             .borrow()
             .iter()
-            .map(|(at, observed)| Observed { age: now.since(*at), ..*observed })
+            .map(|(at, observed)| Observation { age: now.since(*at), ..*observed })
             .collect(),
-        dead: front.fleet.borrow().dead().map(Member::name).collect(),
+        dead: front.fleet.borrow().dead().map(Member::key).collect(),
         peers: front.peers.borrow().share(now),
     }
 }
@@ -129,10 +129,10 @@
         }
         mimosashift::peer::Event::Renewed => {}
     }
-    front.fleet.borrow_mut().merge(&digest.node, &digest.usage, now);
+    front.fleet.borrow_mut().merge_digest(&digest.node, &digest.usage, now);
     front.released.notify_one();
     for seen in &digest.observed {
-        let changed = front.fleet.borrow_mut().relay(seen, now);
+        let changed = front.fleet.borrow_mut().apply_observation(seen, now);
         if let Some(id) = changed {
             front.log_observed(&id, seen, &digest.node);
         }
@@ -147,7 +147,7 @@
     if !front.leads.get() && digest.zone != front.node().zone {
         return;
     }
-    let hops = front.fleet.borrow().named(&digest.dead);
+    let hops = front.fleet.borrow().hops_by_key(&digest.dead);
     for hop in hops {
         let front = front.clone();
         // What it finds is noted with the endpoint.
@@ -165,7 +165,7 @@
 ) {
     if let Some(relayed) = digest.relayed() {
         let mut currency = front.currency.get();
-        if currency.relay(&relayed, front.revision()) {
+        if currency.confirm_from_peer(&relayed, front.revision()) {
             front.currency.set(currency);
             front.confirmed.notify_waiters();
         }
--- a/mimosafront/src/relay/model/pump.rs
+++ b/mimosafront/src/relay/model/pump.rs
@@ -233,8 +233,8 @@
         let written = (self.passed + whole.count) as f32 * self.engine.stride as f32;
         let pause = (self.passed > 0).then(|| now.since(self.pauses.last));
         if let Some(claim) = &mut self.claim {
-            fleet.progress(&claim.chain, pause, now);
-            fleet.begin(claim);
+            fleet.record_progress(&claim.chain, pause, now);
+            fleet.finish_prefill(claim);
             fleet.grow(claim, written);
         }
         if let Some(pause) = pause {
--- a/mimosafront/src/relay/plain.rs
+++ b/mimosafront/src/relay/plain.rs
@@ -53,7 +53,7 @@
 
 impl Drop for Place<'_> {
     fn drop(&mut self) {
-        self.0.fleet.borrow_mut().give(&self.1);
+        self.0.fleet.borrow_mut().remove_request(&self.1);
     }
 }
 
@@ -72,7 +72,7 @@
         }
         let now = clock::now();
         let zone = job.front.node().zone.clone();
-        let hop = job.front.fleet.borrow().pick(&job.service.name, &zone, &tried, now);
+        let hop = job.front.fleet.borrow().choose_endpoint(&job.service.name, &zone, &tried, now);
         let Some(hop) = hop else { break };
         let attempt = tried.len() as u32 + 1;
         if attempt > 1 {
@@ -119,7 +119,7 @@
 /// if no good answer comes.
 async fn send(job: &Job, hop: &Hop, attempt: u32, again: bool) -> Sent {
     let front = &job.front;
-    front.fleet.borrow_mut().take(hop);
+    front.fleet.borrow_mut().add_request(hop);
     let _place = Place(front, hop.clone());
     let lost_after = (job.route.objective * LOST_AFTER).max(MIN_LOST_AFTER);
     let time = if again { job.left().min(lost_after) } else { job.left() };
@@ -144,7 +144,7 @@
     };
     // An endpoint's own failure counts against it, also where it is passed on.
     let well = matches!(&outcome, Sent::Answered(r, _) if !r.status().is_server_error());
-    front.fleet.borrow_mut().answered(&hop.id, well);
+    front.fleet.borrow_mut().record_answer(&hop.id, well);
     if let Sent::Answered(response, true) = &outcome {
         let status = response.status();
         let label = if status.is_success() { Outcome::Completed } else { Outcome::Failed };
--- a/mimosashift/src/config/change.rs
+++ b/mimosashift/src/config/change.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Error;
-use super::call::{Answer, Call, Machine, Step};
+use super::call::{Call, Response, StateMachine, Step};
 use super::catchup::{CatchUp, Progress};
 use super::record::{Record, shortened};
 use super::row;
@@ -14,7 +14,7 @@
 use crate::resource::{Kind, Name, Resource, Spec};
 
 /// Most transactions sent for one change.
-const MAX_TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
 /// Most bytes of a specification as JSON, so that a record with the one before
 /// and the one after fits a frame between routers.
@@ -82,7 +82,7 @@
     phase: Phase,
     /// What was read so far; the next transaction builds on its state.
     read: Progress,
-    tries: u32,
+    attempts: u32,
     /// Table revision of the row `head` that the last transaction checks.
     base: u64,
     /// Whether an earlier transaction may have taken effect or still may.
@@ -91,7 +91,7 @@
     /// transaction.
     settled_at: u64,
     /// The last change by someone else that was seen.
-    winner: Option<Record>,
+    last_other_change: Option<Record>,
 }
 
 #[derive(Debug)]
@@ -115,32 +115,32 @@
             change,
             phase: Phase::Lookup,
             read: Progress::from(installed),
-            tries: 0,
+            attempts: 0,
             base: 0,
             in_doubt: false,
             settled_at: 0,
-            winner: None,
+            last_other_change: None,
         }
     }
 
-    fn next(&mut self, answer: Answer) -> Next {
-        match (&mut self.phase, answer) {
-            (Phase::Lookup, Answer::Read(outcome)) => {
+    fn next(&mut self, response: Response) -> Next {
+        match (&mut self.phase, response) {
+            (Phase::Lookup, Response::Read(outcome)) => {
                 let row = row::read(outcome)?;
                 self.on_lookup(row.as_ref())
             }
-            (Phase::Earlier(revision), Answer::Read(outcome)) => {
+            (Phase::Earlier(revision), Response::Read(outcome)) => {
                 let revision = *revision;
                 self.on_earlier(revision, row::read(outcome)?.as_ref())
             }
-            (Phase::CatchUp(machine), answer @ (Answer::Read(_) | Answer::Scan(_))) => {
-                match machine.answer(answer) {
+            (Phase::CatchUp(machine), response @ (Response::Read(_) | Response::Scan(_))) => {
+                match machine.on_response(response) {
                     Step::Call(call) => Ok(Step::Call(call)),
                     Step::Done(progress) => self.on_caught_up(progress?),
                 }
             }
-            (Phase::Commit { .. }, Answer::Commit(outcome)) => self.on_commit(outcome),
-            (phase, answer) => unreachable!("phase {phase:?} asked for no {answer:?}"),
+            (Phase::Commit { .. }, Response::Commit(outcome)) => self.on_commit(outcome),
+            (phase, response) => unreachable!("phase {phase:?} asked for no {response:?}"),
         }
     }
 
@@ -160,7 +160,7 @@
             && record.after == self.change.spec;
         if !same {
             self.in_doubt = false;
-            return Err(Error::Reused(self.change.id));
+            return Err(Error::ChangeIdReused(self.change.id));
         }
         Ok(Step::Done(Committed { revision, progress: self.read.clone() }))
     }
@@ -175,7 +175,7 @@
     fn on_caught_up(&mut self, progress: Progress) -> Next {
         let table_revision = progress.head.table_revision.unwrap_or_default();
         if table_revision < self.settled_at {
-            return Err(Error::Lagging { seen: self.settled_at, read: table_revision });
+            return Err(Error::StaleRead { seen: self.settled_at, read: table_revision });
         }
         self.read.state = progress.state;
         self.read.records.extend(progress.records.iter().cloned());
@@ -185,9 +185,10 @@
         }
         // The head moved past the transaction in doubt without its record.
         self.in_doubt = false;
-        self.winner = progress.records.into_iter().next_back().or(self.winner.take());
+        self.last_other_change =
+            progress.records.into_iter().next_back().or(self.last_other_change.take());
         self.base = table_revision;
-        if self.tries == MAX_TRIES {
+        if self.attempts == MAX_ATTEMPTS {
             return Err(self.contended());
         }
         self.check()?;
@@ -204,7 +205,7 @@
         let Phase::Commit { transaction, .. } = &self.phase else {
             unreachable!("only the commit phase sends")
         };
-        self.tries += 1;
+        self.attempts += 1;
         Step::Call(Call::Commit(transaction.clone()))
     }
 
@@ -219,7 +220,7 @@
                 let revision = record.revision;
                 Ok(Step::Done(Committed { revision, progress: self.read.clone() }))
             }
-            Outcome::Unknown if self.tries < MAX_TRIES => {
+            Outcome::Unknown if self.attempts < MAX_ATTEMPTS => {
                 // The same transaction again: its checks let it apply once.
                 self.in_doubt = true;
                 Ok(self.send())
@@ -257,9 +258,10 @@
             Precondition::Revision(revision) => found == Some(revision),
         };
         if !holds {
-            let by = self.winner.as_ref().filter(|w| w.kind == *kind && w.name == *name);
-            let by = by.map(|winner| winner.operator.clone());
-            return Err(Error::Precondition { kind: *kind, name: name.clone(), found, by });
+            let last =
+                self.last_other_change.as_ref().filter(|r| r.kind == *kind && r.name == *name);
+            let changed_by = last.map(|record| record.operator.clone());
+            return Err(Error::Precondition { kind: *kind, name: name.clone(), found, changed_by });
         }
         match &self.change.spec {
             Some(spec) if spec.to_json().to_string().len() > MAX_SPEC_BYTES => {
@@ -311,24 +313,24 @@
     }
 
     fn contended(&self) -> Error {
-        let winner = self.winner.as_ref();
+        let last = self.last_other_change.as_ref();
         Error::Contended {
-            tries: self.tries,
-            winner: winner.map(|w| w.operator.clone()).unwrap_or_default(),
-            revision: winner.map(|w| w.revision).unwrap_or_default(),
+            attempts: self.attempts,
+            last_operator: last.map(|record| record.operator.clone()).unwrap_or_default(),
+            revision: last.map(|record| record.revision).unwrap_or_default(),
         }
     }
 }
 
-impl Machine for Commit {
+impl StateMachine for Commit {
     type Output = Result<Committed, Error>;
 
     fn start(&mut self) -> Step<Self::Output> {
         Step::Call(Call::Read(row::change(self.change.id)))
     }
 
-    fn answer(&mut self, answer: Answer) -> Step<Self::Output> {
-        match self.next(answer) {
+    fn on_response(&mut self, response: Response) -> Step<Self::Output> {
+        match self.next(response) {
             Ok(Step::Call(call)) => Step::Call(call),
             Ok(Step::Done(committed)) => Step::Done(Ok(committed)),
             Err(_) if self.in_doubt => Step::Done(Err(Error::Unknown(self.change.id))),
--- a/mimosashift/src/config/spread.rs
+++ b/mimosashift/src/config/replication.rs
@@ -39,7 +39,7 @@
     /// Its name.
     pub node: Name,
     /// Whether it is in the same failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// What it has installed.
     pub version: Version,
     /// When it last read the table's head.
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Run a [`Poll`](super::poll::Poll) from this state and hand its result
-    /// to [`Spread::on_poll`].
+    /// to [`Replicator::on_poll`].
     Poll(State),
     /// Send a request to a peer.
     Pull(Name, Request),
@@ -62,7 +62,7 @@
 
 /// The configuration of one router and its exchange with others.
 #[derive(Debug)]
-pub struct Spread {
+pub struct Replicator {
     node: Name,
     store: Store,
     source: Source,
@@ -88,7 +88,7 @@
     sink: Sink,
 }
 
-impl Spread {
+impl Replicator {
     /// Starts with nothing installed.
     pub fn new(node: Name) -> Self {
         Self {
@@ -152,7 +152,7 @@
             Ok(progress) => {
                 self.polled = Some(now);
                 self.domain_polled = Some(now);
-                self.take_in(&progress, peers)
+                self.install_progress(&progress, peers)
             }
             // Told by the health of the platform, not of the configuration.
             Err(Error::Platform(_)) => Vec::new(),
@@ -161,7 +161,7 @@
     }
 
     /// Takes in what this router has committed or read itself.
-    pub fn take_in(&mut self, progress: &Progress, peers: &[Peer]) -> Vec<Action> {
+    pub fn install_progress(&mut self, progress: &Progress, peers: &[Peer]) -> Vec<Action> {
         let before = self.store.version();
         let records = self.store.install_records(&progress.records);
         let result = records.and_then(|_| self.store.install(progress.state.clone()));
@@ -182,7 +182,7 @@
     }
 
     fn hear(&mut self, peer: &Peer) -> Option<Action> {
-        if peer.near {
+        if peer.same_domain {
             self.domain_polled = self.domain_polled.max(peer.polled);
         }
         let own = self.store.version();
@@ -197,8 +197,9 @@
         rng: &mut Pcg64Mcg,
     ) -> Option<Action> {
         let have = self.store.version();
-        let ahead = |near: bool| -> Vec<&Peer> {
-            let ahead = |p: &&Peer| p.version.revision > have.revision && p.near == near;
+        let ahead = |same_domain: bool| -> Vec<&Peer> {
+            let ahead =
+                |p: &&Peer| p.version.revision > have.revision && p.same_domain == same_domain;
             peers.iter().filter(ahead).collect()
         };
         let mut choice = ahead(true);
@@ -236,7 +237,7 @@
     /// Place of this router among those of its domain, by rendezvous hash.
     fn rank(&self, peers: &[Peer]) -> u32 {
         let own = rendezvous(&self.node);
-        let before = peers.iter().filter(|peer| peer.near && rendezvous(&peer.node) > own);
+        let before = peers.iter().filter(|peer| peer.same_domain && rendezvous(&peer.node) > own);
         u32::try_from(before.count()).expect("there are fewer routers than 2^32")
     }
 
@@ -259,12 +260,12 @@
     fn on_chunk(&mut self, now: Instant, peer: &Name, chunk: Chunk) -> Option<Action> {
         let pull = self.pull.as_mut().filter(|pull| pull.peer == *peer)?;
         let result = match pull.sink.take_in(chunk) {
-            Ok(Received::Part(part)) => {
+            Ok(Received::Partial(part)) => {
                 pull.deadline = now + PULL_TIMEOUT;
                 let request = Request { have: self.store.version(), part: Some(part) };
                 return Some(Action::Pull(peer.clone(), request));
             }
-            Ok(Received::Whole(state)) => self.store.install(state),
+            Ok(Received::Complete(state)) => self.store.install(state),
             Err(error) => Err(error),
         };
         match result {
@@ -298,7 +299,7 @@
     if records.is_empty() || records.len() > MAX_PUSH_RECORDS {
         return Vec::new();
     }
-    let near = peers.iter().filter(|peer| peer.near);
+    let near = peers.iter().filter(|peer| peer.same_domain);
     near.map(|peer| Action::Push(peer.node.clone(), records.to_vec())).collect()
 }
 
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -59,7 +59,7 @@
     /// KV cache, tokens x layers.
     pub cache: f32,
     /// Prompts that have not been read yet, tokens x layers.
-    pub reading: f32,
+    pub prefill: f32,
     /// Requests that it received from a router.
     pub requests: u32,
 }
@@ -104,7 +104,7 @@
 
 /// What changed when the directory was read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Change {
+pub struct DirectoryChange {
     /// Endpoints that appeared or started anew.
     pub joined: Vec<Arc<str>>,
     /// Endpoints that began to leave.
@@ -112,12 +112,12 @@
     /// Endpoints that are gone.
     pub gone: Vec<Arc<str>>,
     /// Endpoints that hold other layers.
-    pub moved: Vec<Arc<str>>,
+    pub layers_changed: Vec<Arc<str>>,
 }
 
 /// What a report said of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Observed {
+pub struct Observation {
     /// Short name of the endpoint.
     pub endpoint: u64,
     /// Its incarnation.
@@ -140,7 +140,7 @@
 }
 
 /// The short name of an endpoint in digests.
-pub fn key(id: &str) -> u64 {
+pub fn endpoint_key(id: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     hasher.finish()
@@ -149,18 +149,18 @@
 impl Usage {
     fn add(&mut self, other: &Self) {
         self.cache += other.cache;
-        self.reading += other.reading;
+        self.prefill += other.prefill;
         self.requests += other.requests;
     }
 
     fn subtract(&mut self, other: &Self) {
         self.cache = (self.cache - other.cache).max(0.0);
-        self.reading = (self.reading - other.reading).max(0.0);
+        self.prefill = (self.prefill - other.prefill).max(0.0);
         self.requests = self.requests.saturating_sub(other.requests);
     }
 }
 
-impl Change {
+impl DirectoryChange {
     /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -191,7 +191,7 @@
 
     /// Takes in what a report said, newer than its entry; returns whether that
     /// changed anything.
-    fn see(&mut self, seen: &Observed, now: Instant) -> bool {
+    fn see(&mut self, seen: &Observation, now: Instant) -> bool {
         let at = now - seen.age;
         if self.endpoint.incarnation != seen.incarnation || at <= self.observed {
             return false;
@@ -243,8 +243,8 @@
     }
 
     /// Its short name and its incarnation.
-    pub fn name(&self) -> (u64, u64) {
-        (key(&self.endpoint.id), self.endpoint.incarnation)
+    pub fn key(&self) -> (u64, u64) {
+        (endpoint_key(&self.endpoint.id), self.endpoint.incarnation)
     }
 
     /// How many times slower than its card it reports to be.
@@ -253,7 +253,7 @@
     }
 
     /// When it came into sight, if it held layers then.
-    pub const fn returned(&self) -> Option<Instant> {
+    pub const fn reappeared_at(&self) -> Option<Instant> {
         self.returned
     }
 
@@ -268,13 +268,13 @@
     ///
     /// Entries that are missing stay for as long as `lapsed_until` says: after
     /// an outage of the store, endpoints need time to register again.
-    pub fn observe(
+    pub fn apply_directory(
         &mut self,
         entries: Vec<Endpoint>,
         lapsed_until: Instant,
         now: Instant,
-    ) -> Change {
-        let mut change = Change::default();
+    ) -> DirectoryChange {
+        let mut change = DirectoryChange::default();
         let mut listed = std::collections::HashSet::new();
         for entry in entries {
             listed.insert(entry.id.clone());
@@ -296,7 +296,7 @@
         change
     }
 
-    fn enter(&mut self, entry: Endpoint, now: Instant, change: &mut Change) {
+    fn enter(&mut self, entry: Endpoint, now: Instant, change: &mut DirectoryChange) {
         let id = entry.id.clone();
         let Some(member) = self.members.get_mut(&id) else {
             change.joined.push(id.clone());
@@ -322,7 +322,7 @@
             entry.layers = member.endpoint.layers;
         }
         if entry.layers != member.endpoint.layers {
-            change.moved.push(id);
+            change.layers_changed.push(id);
         }
         member.endpoint = entry;
     }
@@ -348,15 +348,15 @@
     }
 
     /// The endpoint that listens at an address.
-    pub fn at(&self, address: SocketAddr) -> Option<&Member> {
+    pub fn member_at(&self, address: SocketAddr) -> Option<&Member> {
         self.members.values().find(|member| member.endpoint.address == address)
     }
 
     /// Takes in an endpoint's report; returns what changed for peers to know.
-    pub fn report(&mut self, id: &str, report: &Report, now: Instant) -> Option<Observed> {
-        let seen = Observed {
+    pub fn apply_report(&mut self, id: &str, report: &Report, now: Instant) -> Option<Observation> {
+        let seen = Observation {
             age: Duration::ZERO,
-            endpoint: key(id),
+            endpoint: endpoint_key(id),
             incarnation: report.incarnation,
             layers: report.layers,
             pace: report.pace.max(1.0) as f32,
@@ -366,23 +366,24 @@
 
     /// Takes in what a peer saw of an endpoint; returns its id if that changed
     /// anything.
-    pub fn relay(&mut self, seen: &Observed, now: Instant) -> Option<Arc<str>> {
-        let member = self.members.values_mut().find(|m| key(&m.endpoint.id) == seen.endpoint)?;
+    pub fn apply_observation(&mut self, seen: &Observation, now: Instant) -> Option<Arc<str>> {
+        let member =
+            self.members.values_mut().find(|m| endpoint_key(&m.endpoint.id) == seen.endpoint)?;
         member.see(seen, now).then(|| member.endpoint.id.clone())
     }
 
     /// What this router uses, for digests; only what is in use.
     pub fn digest(&self) -> Vec<(u64, Usage)> {
         let used = self.members.values().filter(|member| member.own != Usage::default());
-        used.map(|member| (key(&member.endpoint.id), member.own)).collect()
+        used.map(|member| (endpoint_key(&member.endpoint.id), member.own)).collect()
     }
 
     /// Takes in a peer's use.
-    pub fn merge(&mut self, peer: &Arc<str>, usage: &[(u64, Usage)], now: Instant) {
+    pub fn merge_digest(&mut self, peer: &Arc<str>, usage: &[(u64, Usage)], now: Instant) {
         self.digests.insert(peer.clone(), (now, usage.iter().copied().collect()));
         self.digests.retain(|_, (at, _)| now.since(*at) < PEER_LIFE);
         for member in self.members.values_mut() {
-            let key = key(&member.endpoint.id);
+            let key = endpoint_key(&member.endpoint.id);
             member.peers = Usage::default();
             for (_, digest) in self.digests.values() {
                 if let Some(usage) = digest.get(&key) {
--- a/mimosashift/src/fleet/plain.rs
+++ b/mimosashift/src/fleet/plain.rs
@@ -21,7 +21,13 @@
 impl Fleet {
     /// The endpoint for a request to a plain service, without those in
     /// `avoid`; `None` when all are full or none is left.
-    pub fn pick(&self, service: &str, zone: &str, avoid: &[Arc<str>], now: Instant) -> Option<Hop> {
+    pub fn choose_endpoint(
+        &self,
+        service: &str,
+        zone: &str,
+        avoid: &[Arc<str>],
+        now: Instant,
+    ) -> Option<Hop> {
         let usable = |m: &&Member| {
             &*m.endpoint.service == service
                 && m.takes_work()
@@ -46,14 +52,14 @@
     }
 
     /// Counts a request at the endpoint of a plain service.
-    pub fn take(&mut self, hop: &Hop) {
+    pub fn add_request(&mut self, hop: &Hop) {
         if let Some(member) = self.members.get_mut(&hop.id) {
             member.own.add(&Usage { requests: 1, ..Usage::default() });
         }
     }
 
-    /// Gives back what [`take`](Self::take) counted.
-    pub fn give(&mut self, hop: &Hop) {
+    /// Gives back what [`add_request`](Self::add_request) counted.
+    pub fn remove_request(&mut self, hop: &Hop) {
         let member = self.members.get_mut(&hop.id);
         if let Some(member) = member.filter(|m| m.endpoint.incarnation == hop.incarnation) {
             member.own.subtract(&Usage { requests: 1, ..Usage::default() });
@@ -61,7 +67,7 @@
     }
 
     /// Endpoints of a service that get new work.
-    pub fn usable(&self, service: &str, now: Instant) -> usize {
+    pub fn usable_count(&self, service: &str, now: Instant) -> usize {
         let of = |m: &&Member| &*m.endpoint.service == service && m.is_usable(now);
         self.members.values().filter(of).count()
     }
--- a/mimosashift/src/fleet/vitals.rs
+++ b/mimosashift/src/fleet/vitals.rs
@@ -89,7 +89,7 @@
 impl Fleet {
     /// Notes that work made progress through a chain, with the time since it
     /// last did.
-    pub fn progress(&mut self, chain: &[Hop], pause: Option<Duration>, now: Instant) {
+    pub fn record_progress(&mut self, chain: &[Hop], pause: Option<Duration>, now: Instant) {
         if let Some(pause) = pause {
             self.usual_pause.add(pause);
         }
@@ -113,11 +113,11 @@
     }
 
     /// Notes that an endpoint gives no answer at all.
-    pub fn die(&mut self, id: &str, now: Instant) {
+    pub fn mark_dead(&mut self, id: &str, now: Instant) {
         if let Some(member) = self.members.get_mut(id) {
             member.dead_since.get_or_insert(now);
         }
-        self.fail(id, now);
+        self.record_failure(id, now);
     }
 
     /// The endpoints that gave no answer.
@@ -126,14 +126,14 @@
     }
 
     /// The dead endpoints that are to be asked again.
-    pub fn overdue(&self, now: Instant) -> Vec<Hop> {
+    pub fn due_for_probe(&self, now: Instant) -> Vec<Hop> {
         self.dead().filter(|member| now >= member.doubted_until).filter_map(Member::hop).collect()
     }
 
     /// Endpoints by their short names and incarnations, without those that are
     /// known to be dead.
-    pub fn named(&self, names: &[(u64, u64)]) -> Vec<Hop> {
-        let named = |m: &&Member| m.dead_since.is_none() && names.contains(&m.name());
+    pub fn hops_by_key(&self, names: &[(u64, u64)]) -> Vec<Hop> {
+        let named = |m: &&Member| m.dead_since.is_none() && names.contains(&m.key());
         if names.is_empty() {
             return Vec::new();
         }
@@ -174,7 +174,7 @@
     }
 
     /// Notes that an endpoint failed; it is left out for a while.
-    pub fn fail(&mut self, id: &str, now: Instant) {
+    pub fn record_failure(&mut self, id: &str, now: Instant) {
         let Some(member) = self.members.get_mut(id) else { return };
         let doubt = FIRST_DOUBT.saturating_mul(1 << member.strikes.min(8)).min(MAX_DOUBT);
         member.strikes += 1;
@@ -187,7 +187,7 @@
     /// Notes that an endpoint had no memory for a request; it is well otherwise.
     /// One that refuses soon after it was tried again is left for longer, as
     /// many routers may press it.
-    pub fn crowd(&mut self, id: &str, now: Instant) {
+    pub fn record_cache_full(&mut self, id: &str, now: Instant) {
         let Some(member) = self.members.get_mut(id) else { return };
         if now < member.crowded_until {
             return;
@@ -217,7 +217,7 @@
     }
 
     /// Notes how an endpoint answered.
-    pub fn answered(&mut self, id: &str, well: bool) {
+    pub fn record_answer(&mut self, id: &str, well: bool) {
         let Some(member) = self.members.get_mut(id) else { return };
         let failed = if well { 0.0 } else { 1.0 };
         member.failures += FAILURE_GAIN * (failed - member.failures);
--- a/mimosashift/src/health/report.rs
+++ b/mimosashift/src/health/report.rs
@@ -5,7 +5,7 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-use super::leaving::Marks;
+use super::leaving::LeavingState;
 use crate::engine::Load;
 use crate::resource::Name;
 use crate::time::Instant;
@@ -28,25 +28,25 @@
 
 /// One endpoint's load as polled by one router.
 ///
-/// Of two reports the one with the later `taken`, then the higher `sequence`,
+/// Of two reports the one with the later `polled_at`, then the higher `sequence`,
 /// replaces the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The endpoint.
     pub endpoint: Name,
     /// When the poll was answered, on the polling router's clock.
-    pub taken: Instant,
+    pub polled_at: Instant,
     /// Number of the poll, rising within one router.
     pub sequence: u64,
     /// The engine's answer.
     pub load: Load,
     /// What is known about the endpoint leaving.
-    pub marks: Marks,
+    pub leaving_state: LeavingState,
 }
 
 /// Reports for other routers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct ReportBatch {
     /// At most one report per endpoint.
     pub reports: Vec<Report>,
 }
--- a/mimosashift/src/health/state.rs
+++ b/mimosashift/src/health/state.rs
@@ -4,8 +4,8 @@
 
 use super::ejection::Ejection;
 use super::factor::Factor;
-use super::leaving::Marks;
-use super::{Condition, Report, Settings, Standing, model};
+use super::leaving::LeavingState;
+use super::{Availability, Condition, Report, Settings, model};
 use crate::engine::Load;
 use crate::time::Instant;
 
@@ -22,12 +22,12 @@
 pub(super) struct State {
     pub(super) group: u32,
     pub(super) declared: Declared,
-    pub(super) marks: Marks,
+    pub(super) leaving_state: LeavingState,
     /// The VM list's generation at a refusal by an unknown incarnation.
     refused: Option<u64>,
     /// When the present incarnation was first seen.
     pub(super) incarnated: Instant,
-    pub(super) taken: Instant,
+    pub(super) polled_at: Instant,
     pub(super) sequence: u64,
     pub(super) load: Load,
     pub(super) ejection: Ejection,
@@ -47,10 +47,10 @@
         Self {
             group,
             declared,
-            marks: Marks::default(),
+            leaving_state: LeavingState::default(),
             refused: None,
             incarnated: Instant::ZERO,
-            taken: Instant::ZERO,
+            polled_at: Instant::ZERO,
             sequence: 0,
             load: Load::default(),
             ejection: Ejection::default(),
@@ -71,7 +71,7 @@
     pub(super) fn end(&mut self, started: Instant) {
         let Some(place) = self.flight.iter().position(|&at| at == started) else { return };
         self.flight.swap_remove(place);
-        if started <= self.taken {
+        if started <= self.polled_at {
             self.finished += 1;
         }
     }
@@ -81,38 +81,38 @@
     /// Without a known incarnation the refusal counts for the next one learnt,
     /// unless a newer VM list withdraws it before.
     pub(super) fn refuse(&mut self) {
-        if !self.marks.refuse() {
-            self.refused = Some(self.marks.generation());
+        if !self.leaving_state.refuse() {
+            self.refused = Some(self.leaving_state.generation());
         }
     }
 
     /// Takes in a statement of the VM list.
     pub(super) fn list(&mut self, generation: u64, leaving: bool) {
-        self.marks.list(generation, leaving);
+        self.leaving_state.list(generation, leaving);
         self.refused = self.refused.filter(|&refused| generation <= refused);
     }
 
     /// Takes in marks known elsewhere; a new incarnation starts to return.
-    pub(super) fn mark(&mut self, marks: &Marks, seen: Instant) {
-        let before = self.marks.incarnation();
-        self.marks.merge(marks);
-        if before > 0 && self.marks.incarnation() > before {
+    pub(super) fn merge_leaving(&mut self, leaving_state: &LeavingState, seen: Instant) {
+        let before = self.leaving_state.incarnation();
+        self.leaving_state.merge(leaving_state);
+        if before > 0 && self.leaving_state.incarnation() > before {
             self.incarnated = seen;
             self.failures = 0;
             self.ejection.lift(seen);
         }
-        if self.refused.is_some() && self.marks.refuse() {
+        if self.refused.is_some() && self.leaving_state.refuse() {
             self.refused = None;
         }
     }
 
     /// Takes in a report unless a newer one is known.
     pub(super) fn report(&mut self, report: &Report) {
-        self.mark(&report.marks, report.taken);
-        if (report.taken, report.sequence) <= (self.taken, self.sequence) {
+        self.merge_leaving(&report.leaving_state, report.polled_at);
+        if (report.polled_at, report.sequence) <= (self.polled_at, self.sequence) {
             return;
         }
-        self.taken = report.taken;
+        self.polled_at = report.polled_at;
         self.sequence = report.sequence;
         self.load = report.load.clone();
         self.finished = 0;
@@ -121,21 +121,21 @@
     /// Sequences at the endpoint: the report, less own work finished since,
     /// plus the work that `routers` routers like this one began since.
     fn sequences(&self, routers: u32) -> u32 {
-        let own = self.flight.iter().filter(|&&at| at > self.taken).count() as u32;
+        let own = self.flight.iter().filter(|&&at| at > self.polled_at).count() as u32;
         let begun = own.saturating_mul(routers);
         let reported = self.load.queued.saturating_add(self.load.running);
         reported.saturating_sub(self.finished).saturating_add(begun)
     }
 
-    pub(super) fn standing(&self, now: Instant) -> Standing {
+    pub(super) fn availability(&self, now: Instant) -> Availability {
         if self.is_leaving() {
-            return Standing::Leaving;
+            return Availability::Leaving;
         }
-        self.ejection.standing(now)
+        self.ejection.availability(now)
     }
 
     pub(super) fn is_leaving(&self) -> bool {
-        self.marks.is_leaving() || self.refused.is_some()
+        self.leaving_state.is_leaving() || self.refused.is_some()
     }
 
     /// How many times slower than declared, over service and link.
@@ -161,7 +161,7 @@
 
     pub(super) fn condition(&self, settings: &Settings, routers: u32, now: Instant) -> Condition {
         Condition {
-            standing: self.standing(now),
+            availability: self.availability(now),
             sequences: self.sequences(routers),
             service_factor: self.service.at(now),
             link_factor: self.link.at(now),
--- a/mimosashift/src/node/cluster/life.rs
+++ b/mimosashift/src/node/cluster/life.rs
@@ -1,8 +1,8 @@
 //! The configuration of a router in whichever phase it is.
 
-use crate::config::Spread;
-use crate::config::phase::{Reason, Router, Serving, Starting};
-use crate::config::spread::Peer;
+use crate::config::Replicator;
+use crate::config::phase::{NotServingReason, Router, Serving, Starting};
+use crate::config::replication::Peer;
 use crate::resource::Name;
 use crate::time::Instant;
 
@@ -21,26 +21,28 @@
     }
 
     /// The exchange with the table and other routers.
-    pub fn spread(&self) -> &Spread {
+    pub fn replicator(&self) -> &Replicator {
         match self.phase() {
-            Phase::Starting(router) => router.spread(),
-            Phase::Serving(router) => router.spread(),
+            Phase::Starting(router) => router.replicator(),
+            Phase::Serving(router) => router.replicator(),
         }
     }
 
     /// The exchange with the table and other routers, to drive it.
-    pub fn spread_mut(&mut self) -> &mut Spread {
+    pub fn replicator_mut(&mut self) -> &mut Replicator {
         match self.0.as_mut().expect("a phase is put back at once") {
-            Phase::Starting(router) => router.spread_mut(),
-            Phase::Serving(router) => router.spread_mut(),
+            Phase::Starting(router) => router.replicator_mut(),
+            Phase::Serving(router) => router.replicator_mut(),
         }
     }
 
     /// Why the router may not serve yet, `None` when it does.
-    pub fn reason(&self, now: Instant, peers: &[Peer]) -> Option<Reason> {
+    pub fn reason(&self, now: Instant, peers: &[Peer]) -> Option<NotServingReason> {
         match self.phase() {
             // It serves from the next tick on.
-            Phase::Starting(router) => Some(router.reason(now, peers).unwrap_or(Reason::Asking)),
+            Phase::Starting(router) => {
+                Some(router.reason(now, peers).unwrap_or(NotServingReason::QueryingTable))
+            }
             Phase::Serving(_) => None,
         }
     }
--- a/mimosashift/src/node/operators/queries.rs
+++ b/mimosashift/src/node/operators/queries.rs
@@ -10,15 +10,15 @@
 use super::commands::refused;
 use super::{Answer, Reply, not_found, number, parse_kind, parse_name};
 use crate::config::audit::{Audit, Filter};
-use crate::config::{ChangeId, Entry, Record, call};
-use crate::health::View;
+use crate::config::{AuditEntry, ChangeId, Record, call};
+use crate::health::HealthView;
 use crate::http::Request;
 use crate::http::problem::Problem;
 use crate::member::{InForce, Liveness, Member};
 use crate::node::Node;
 use crate::node::installed::Installed;
 use crate::resource::{Name, Resource};
-use crate::route::{Ask, Candidate, Refusal, Sources};
+use crate::route::{Candidate, Refusal, RouteRequest, Sources};
 
 /// Entries of the audit trail unless a limit is given.
 const DEFAULT_AUDIT_LIMIT: usize = 100;
@@ -103,7 +103,7 @@
         .route(model)
         .ok_or_else(|| not_found(format!("no route has model {model:?}")))?;
     let version = installed.snapshot().pipeline(&route.pipeline).map_or(0, |p| p.version);
-    let ask = Ask {
+    let ask = RouteRequest {
         pipeline: &route.pipeline,
         version,
         prompt_tokens: number(request, "prompt_tokens")?.unwrap_or(DEFAULT_PROMPT_TOKENS),
@@ -187,7 +187,7 @@
         json!({
             "name": name,
             "domain": domain,
-            "standing": format!("{:?}", condition.standing).to_lowercase(),
+            "standing": format!("{:?}", condition.availability).to_lowercase(),
             "sequences": condition.sequences,
             "overloaded": condition.overloaded,
             "weight": condition.weight,
@@ -208,13 +208,13 @@
         "layers": candidate.layers,
         "endpoint": candidate.endpoint,
         "domain": candidate.domain,
-        "standing": format!("{:?}", candidate.condition.standing).to_lowercase(),
+        "standing": format!("{:?}", candidate.condition.availability).to_lowercase(),
         "estimate": estimate,
     })
 }
 
 fn entry(record: &Record) -> Value {
-    let entry = Entry::from(record);
+    let entry = AuditEntry::from(record);
     json!({
         "revision": entry.revision,
         "time": entry.at_unix_ms,
--- a/mimosashift/src/pipeline/mod.rs
+++ b/mimosashift/src/pipeline/mod.rs
@@ -1,19 +1,19 @@
-//! The token stream of one request: stages, step ledger, recovery.
+//! Token generation for one request: stage steps, reply checks and recovery.
 //!
 //! A [`Machine`] drives the stages of a chain step by step and moves layers to
-//! another endpoint when a stage is lost. `docs/design/pipeline.md` gives the
-//! reasons and what must hold.
+//! another endpoint when a stage fails. The design and its invariants are
+//! described in `docs/design/pipeline.md`.
 
 mod action;
 mod hedge;
-mod ledger;
 mod machine;
-mod progress;
 pub mod recovery;
+mod reply_filter;
 pub mod retry;
+mod step_times;
 
 pub use action::{Action, Actions, Code, Context, Effect, Outcome, Request, Scope};
-pub use hedge::Hedge;
-pub use ledger::{Drops, Ledger, Reason};
+pub use hedge::HedgedRequest;
 pub use machine::{Machine, Replacement};
-pub use progress::{Limits, Progress};
+pub use reply_filter::{DropCounts, DropReason, ReplyFilter};
+pub use step_times::{Limits, StepTimes};
--- a/mimosashift/src/route/choose.rs
+++ b/mimosashift/src/route/choose.rs
@@ -11,8 +11,8 @@
 use super::sample::{self, Candidate, Candidates};
 use super::search::{Leg, Search};
 use super::table::{Holder, Model, Segment};
-use super::{Ask, Chain, Refusal, Stage, Table, explain};
-use crate::health::{Standing, View};
+use super::{Chain, Refusal, RouteRequest, Stage, Table, explain};
+use crate::health::{Availability, HealthView};
 use crate::resource::{Layers, Name};
 use crate::time::Instant;
 
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub(super) struct Request<'a, V> {
     pub(super) table: &'a Table,
-    pub(super) ask: &'a Ask<'a>,
+    pub(super) ask: &'a RouteRequest<'a>,
     health: &'a V,
     work: Work,
     now: Instant,
@@ -68,9 +68,9 @@
 impl Table {
     /// The chain with the least estimated completion time among a few
     /// candidates for each layer boundary.
-    pub fn choose<V: View>(
+    pub fn choose<V: HealthView>(
         &self,
-        ask: &Ask<'_>,
+        ask: &RouteRequest<'_>,
         sources: &Sources<'_, V>,
         now: Instant,
         rng: &mut Pcg64Mcg,
@@ -96,9 +96,9 @@
         })
     }
 
-    pub(super) fn request<'a, V: View>(
+    pub(super) fn request<'a, V: HealthView>(
         &'a self,
-        ask: &'a Ask<'a>,
+        ask: &'a RouteRequest<'a>,
         model: &Model,
         health: &'a V,
         cached: f32,
@@ -110,9 +110,9 @@
 
     /// The best chain of endpoints that all cache the same prefix: a prefix
     /// saves work only where every stage has it.
-    fn cached<V: View>(
+    fn cached<V: HealthView>(
         &self,
-        ask: &Ask<'_>,
+        ask: &RouteRequest<'_>,
         model: &Model,
         sources: &Sources<'_, V>,
         now: Instant,
@@ -134,7 +134,7 @@
         None
     }
 
-    fn chain(&self, ask: &Ask<'_>, model: &Model, legs: &[Leg]) -> Chain {
+    fn chain(&self, ask: &RouteRequest<'_>, model: &Model, legs: &[Leg]) -> Chain {
         let name = |leg: &Leg| match leg.by {
             Some(candidate) => self.entries[candidate.holder.entry as usize].name.clone(),
             None => kept_at(ask, leg.layers.start())
@@ -148,7 +148,7 @@
     }
 }
 
-impl<V: View> Request<'_, V> {
+impl<V: HealthView> Request<'_, V> {
     /// Prices an endpoint; `None` when it must not be used.
     pub(super) fn candidate(
         &self,
@@ -167,7 +167,7 @@
         if condition.weight < 1.0 && rng.random::<f32>() >= condition.weight {
             estimate = estimate.returning();
         }
-        let spread = 1.0 + rng.random::<f64>() * settings.spread;
+        let spread = 1.0 + rng.random::<f64>() * settings.cost_jitter;
         Some(Candidate { holder, estimate, spread })
     }
 
@@ -241,7 +241,8 @@
     /// Says why no chain exists.
     fn refusal(&self, model: &Model) -> Refusal {
         let pipeline = self.ask.pipeline.clone();
-        if let Some(layers) = self.first_without(model, |standing| standing < Standing::Leaving) {
+        if let Some(layers) = self.first_without(model, |standing| standing < Availability::Leaving)
+        {
             let version = self.ask.version;
             return Refusal::NoHolder { pipeline, version, layers };
         }
@@ -250,10 +251,14 @@
     }
 
     /// The first layers to be given out for which no holder is `usable`.
-    fn first_without(&self, model: &Model, usable: impl Fn(Standing) -> bool) -> Option<Layers> {
+    fn first_without(
+        &self,
+        model: &Model,
+        usable: impl Fn(Availability) -> bool,
+    ) -> Option<Layers> {
         let is_usable = |holder: &Holder| {
             let entry = &self.table.entries[holder.entry as usize];
-            let standing = self.health.condition(&entry.name, self.now).standing;
+            let standing = self.health.condition(&entry.name, self.now).availability;
             !self.is_avoided(&entry.name, &entry.domain) && usable(standing)
         };
         let is_kept = |range: &[u16]| {
@@ -278,23 +283,26 @@
     }
 }
 
-fn check_kept(ask: &Ask<'_>, model: &Model) -> Result<(), Refusal> {
+fn check_kept(ask: &RouteRequest<'_>, model: &Model) -> Result<(), Refusal> {
     let mut free = 0;
     for stage in ask.kept {
         if stage.layers.start() < free || stage.layers.end() > model.layers {
-            return Err(Refusal::Kept { pipeline: ask.pipeline.clone(), layers: stage.layers });
+            return Err(Refusal::InvalidKeptStages {
+                pipeline: ask.pipeline.clone(),
+                layers: stage.layers,
+            });
         }
         free = stage.layers.end();
     }
     Ok(())
 }
 
-fn kept_at<'a>(ask: &Ask<'a>, layer: u16) -> Option<&'a Stage> {
+fn kept_at<'a>(ask: &RouteRequest<'a>, layer: u16) -> Option<&'a Stage> {
     ask.kept.iter().find(|stage| stage.layers.start() == layer)
 }
 
 /// Start of the first kept stage after `layer`.
-fn free_until(ask: &Ask<'_>, layer: u16) -> u16 {
+fn free_until(ask: &RouteRequest<'_>, layer: u16) -> u16 {
     let starts = ask.kept.iter().map(|stage| stage.layers.start());
     starts.filter(|&start| start > layer).min().unwrap_or(u16::MAX)
 }
--- a/mimosashift/src/route/cost.rs
+++ b/mimosashift/src/route/cost.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::{Ask, Settings};
-use crate::health::{Condition, Standing, model};
+use super::{RouteRequest, Settings};
+use crate::health::{Availability, Condition, model};
 use crate::resource::{Engine, Snapshot};
 
 /// Added to the cost of a returning endpoint that sits this choice out; more
@@ -71,7 +71,7 @@
         condition: &Condition,
         settings: &Settings,
     ) -> Option<Estimate> {
-        if condition.standing == Standing::Leaving || condition.overloaded {
+        if condition.availability == Availability::Leaving || condition.overloaded {
             return None;
         }
         // A sequence takes a slot only while it is at this stage.
@@ -88,10 +88,10 @@
             return None;
         }
         let link_us = f64::from(self.link_us(work) * condition.link_factor);
-        let penalty_us = match condition.standing {
-            Standing::Slow => SLOW_PENALTY_US,
-            Standing::Unreachable => UNREACHABLE_PENALTY_US,
-            Standing::Live | Standing::Leaving => 0.0,
+        let penalty_us = match condition.availability {
+            Availability::Slow => SLOW_PENALTY_US,
+            Availability::Unreachable => UNREACHABLE_PENALTY_US,
+            Availability::Live | Availability::Leaving => 0.0,
         };
         Some(Estimate { wait_us, link_us, layer_us, penalty_us })
     }
@@ -119,7 +119,7 @@
 
 impl Work {
     /// Work of `ask` when the engines have `cached` tokens of its prompt.
-    pub(super) fn new(ask: &Ask<'_>, layers: u16, hidden_bytes: u32, cached: f32) -> Self {
+    pub(super) fn new(ask: &RouteRequest<'_>, layers: u16, hidden_bytes: u32, cached: f32) -> Self {
         let prompt = (ask.prompt_tokens as f32 - cached).max(1.0);
         let decode_steps = ask.output_tokens.saturating_sub(1) as f32;
         let token_bytes = 2.0 * hidden_bytes as f32;
--- a/mimosashift/src/route/explain.rs
+++ b/mimosashift/src/route/explain.rs
@@ -3,8 +3,8 @@
 use std::cmp::Ordering;
 
 use super::cost::Estimate;
-use super::{Ask, Refusal, Sources, Table};
-use crate::health::{Condition, View};
+use super::{Refusal, RouteRequest, Sources, Table};
+use crate::health::{Condition, HealthView};
 use crate::resource::{Layers, Name};
 use crate::time::Instant;
 
@@ -27,9 +27,9 @@
 impl Table {
     /// Up to `limit` cheapest endpoints for each run of layers, cheapest
     /// first. Unlike a choice it looks at every holder and rolls no dice.
-    pub fn explain<V: View>(
+    pub fn explain<V: HealthView>(
         &self,
-        ask: &Ask<'_>,
+        ask: &RouteRequest<'_>,
         sources: &Sources<'_, V>,
         now: Instant,
         limit: usize,
--- a/mimosashift/src/route/naive.rs
+++ b/mimosashift/src/route/naive.rs
@@ -4,8 +4,8 @@
 //! endpoint, so it shares only the cost of one stage with [`super::Table`].
 
 use super::cost::{Speed, Work};
-use super::{Ask, Chain, Distances, Settings, Stage};
-use crate::health::View;
+use super::{Chain, Distances, RouteRequest, Settings, Stage};
+use crate::health::HealthView;
 use crate::resource::{Layers, Name, Role, Snapshot};
 use crate::time::Instant;
 
@@ -26,11 +26,11 @@
 
 /// The cheapest of all chains and its estimated time in microseconds, or
 /// `None` when no chain exists. Prefix caches and kept stages are left out.
-pub fn choose<V: View>(
+pub fn choose<V: HealthView>(
     snapshot: &Snapshot,
     distances: &Distances,
     settings: &Settings,
-    ask: &Ask<'_>,
+    ask: &RouteRequest<'_>,
     health: &V,
     now: Instant,
 ) -> Option<(Chain, f64)> {
--- a/mimosashift/tests/config.rs
+++ b/mimosashift/tests/config.rs
@@ -3,11 +3,11 @@
 mod fake;
 
 use fake::{Fake, Fault, Rows, change};
-use mimosashift::config::call::{self, Call, Machine, Step};
+use mimosashift::config::call::{self, Call, StateMachine, Step};
 use mimosashift::config::catchup::CatchUp;
 use mimosashift::config::change::Commit;
 use mimosashift::config::load::Load;
-use mimosashift::config::{Change, ChangeId, Entry, Error, Precondition, Record, State};
+use mimosashift::config::{AuditEntry, Change, ChangeId, Error, Precondition, Record, State};
 use mimosashift::resource::{Kind, Spec};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -54,7 +54,7 @@
     let table = Fake::default();
     commit(&table, change(7, "urgent", 0), &State::default()).unwrap();
     let other = commit(&table, change(7, "urgent", 1), &State::default());
-    assert_eq!(other, Err(Error::Reused(ChangeId(7))));
+    assert_eq!(other, Err(Error::ChangeIdReused(ChangeId(7))));
 }
 
 #[test]
@@ -78,7 +78,7 @@
             let picked = rng.random_range(0..machines.len());
             let (machine, step) = &mut machines[picked];
             if let Step::Call(call) = step {
-                *step = machine.answer(call::perform(&table, call));
+                *step = machine.on_response(call::execute(&table, call));
             }
         }
         let results: Vec<_> = machines
@@ -91,10 +91,12 @@
         let winner = records(&table).pop().unwrap();
         assert_eq!(results.iter().filter(|r| **r == Ok(2)).count(), 1, "seed {seed}: {results:?}");
         for lost in results.iter().filter(|r| r.is_err()) {
-            let Err(Error::Precondition { found: Some(2), by: Some(by), .. }) = lost else {
+            let Err(Error::Precondition { found: Some(2), changed_by: Some(changed_by), .. }) =
+                lost
+            else {
                 panic!("seed {seed}: {lost:?}");
             };
-            assert_eq!(*by, winner.operator, "seed {seed}");
+            assert_eq!(*changed_by, winner.operator, "seed {seed}");
         }
     }
 }
@@ -113,12 +115,13 @@
                     id += 1;
                     commit(&table, change(id, "urgent", 0), &State::default()).unwrap();
                 }
-                step = machine.answer(call::perform(&table, &call));
+                step = machine.on_response(call::execute(&table, &call));
             }
             Step::Done(result) => break result,
         }
     };
-    let expected = Error::Contended { tries: 8, winner: format!("operator-{id}"), revision: 9 };
+    let expected =
+        Error::Contended { attempts: 8, last_operator: format!("operator-{id}"), revision: 9 };
     assert_eq!(result, Err(expected));
 }
 
@@ -159,7 +162,7 @@
         commit(&table, team, &State::default()).unwrap();
     }
     let record = records(&table).pop().unwrap();
-    let shown = serde_json::to_string(&Entry::from(&record)).unwrap();
+    let shown = serde_json::to_string(&AuditEntry::from(&record)).unwrap();
     assert!(!shown.contains(&digest) && shown.contains("\"abababab\""), "{shown}");
     let mut bytes = [0; 32];
     hex::decode_to_slice(&digest, &mut bytes).unwrap();
@@ -212,7 +215,7 @@
             match step {
                 Step::Call(call) => {
                     edit(&mut rng);
-                    step = machine.answer(call::perform(&table, &call));
+                    step = machine.on_response(call::execute(&table, &call));
                 }
                 Step::Done(state) => break state.unwrap(),
             }
@@ -238,7 +241,7 @@
             Step::Call(call) => {
                 let stale = matches!(call, Call::Scan { .. }).then(|| old.clone());
                 table.with(|inner| inner.stale = stale);
-                step = machine.answer(call::perform(&table, &call));
+                step = machine.on_response(call::execute(&table, &call));
             }
             Step::Done(result) => break result,
         }
@@ -270,7 +273,7 @@
     let result = loop {
         match step {
             Step::Call(call) => {
-                step = machine.answer(call::perform(&table, &call));
+                step = machine.on_response(call::execute(&table, &call));
                 table.with(|inner| inner.stale = None);
             }
             Step::Done(result) => break result.map(|committed| committed.revision),
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use mimosashift::deployment::{Endpoint, Engine, Standing};
 use mimosashift::exchange::Report;
-use mimosashift::fleet::{Chain, Demand, Fleet, Observed, Query, Shortage, Usage, key};
+use mimosashift::fleet::{Chain, Demand, Fleet, Observation, Query, Shortage, Usage, endpoint_key};
 use mimosashift::time::Instant;
 
 use test_case::test_case;
@@ -20,7 +20,7 @@
 
 fn fleet(entries: Vec<Endpoint>) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.observe(entries, Instant::ZERO, at(0));
+    fleet.apply_directory(entries, Instant::ZERO, at(0));
     fleet
 }
 
@@ -94,8 +94,8 @@
 #[test]
 fn lost_range_is_borrowed_from_another_zone() {
     let mut fleet = fleet(two_zones());
-    fleet.fail("e2", at(50));
-    fleet.fail("e3", at(50));
+    fleet.record_failure("e2", at(50));
+    fleet.record_failure("e3", at(50));
     let chain = choose(&fleet, &USUAL).unwrap();
     assert_eq!(ids(&chain), ["e1", "e4"]);
 }
@@ -130,7 +130,7 @@
 fn released_claims_leave_nothing_behind() {
     let mut fleet = fleet(two_zones());
     let mut claim = fleet.claim(choose(&fleet, &USUAL).unwrap(), &USUAL);
-    fleet.begin(&mut claim);
+    fleet.finish_prefill(&mut claim);
     fleet.release(&claim);
     assert!(fleet.digest().is_empty());
 }
@@ -144,7 +144,7 @@
     let mut entries = two_zones();
     let entry = entries.iter_mut().find(|entry| entry.id == first).unwrap();
     entry.incarnation = 2;
-    fleet.observe(entries, Instant::ZERO, at(100));
+    fleet.apply_directory(entries, Instant::ZERO, at(100));
     let next = fleet.claim(choose(&fleet, &USUAL).unwrap(), &USUAL);
     fleet.release(&claim);
     fleet.release(&next);
@@ -155,7 +155,7 @@
 fn started_chain_keeps_its_first_part() {
     let mut fleet = fleet(two_zones());
     let chain = choose(&fleet, &USUAL).unwrap();
-    fleet.fail(&chain[1].id, at(50));
+    fleet.record_failure(&chain[1].id, at(50));
     let moved =
         fleet.chain(&Query { first: Some(&chain[0]), ..query(&huge(), &USUAL) }, at(100)).unwrap();
     assert_eq!(moved[0], chain[0]);
@@ -195,7 +195,7 @@
     let mut fleet = fleet(two_zones());
     let chain = choose(&fleet, &USUAL).unwrap();
     // This stream's last event came at 1,000, another one's at 1,030.
-    fleet.progress(&chain, None, at(1_030));
+    fleet.record_progress(&chain, None, at(1_030));
     assert_eq!(fleet.silent(&chain, at(1_300)).len(), chain.len());
     assert!(fleet.silent(&chain, at(1_060)).is_empty());
 }
@@ -203,10 +203,10 @@
 #[test]
 fn missing_entry_stays_after_an_outage_of_the_store_and_then_goes() {
     let mut fleet = fleet(two_zones());
-    let kept = fleet.observe(Vec::new(), at(2_000), at(1_000));
+    let kept = fleet.apply_directory(Vec::new(), at(2_000), at(1_000));
     assert!(kept.gone.is_empty());
     assert!(choose(&fleet, &USUAL).is_ok());
-    let gone = fleet.observe(Vec::new(), at(2_000), at(2_000));
+    let gone = fleet.apply_directory(Vec::new(), at(2_000), at(2_000));
     assert_eq!(gone.gone.len(), 4);
 }
 
@@ -214,12 +214,12 @@
 fn entry_older_than_a_report_does_not_bring_back_its_layers() {
     let mut fleet = fleet(two_zones());
     let report = Report { incarnation: 1, layers: Some(layers(0, 50)), ..Report::default() };
-    fleet.report("e1", &report, at(5));
-    fleet.observe(two_zones(), Instant::ZERO, at(10));
+    fleet.apply_report("e1", &report, at(5));
+    fleet.apply_directory(two_zones(), Instant::ZERO, at(10));
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, Some(layers(0, 50)));
     let mut later = two_zones();
     later[0].heartbeat = 2;
-    fleet.observe(later, Instant::ZERO, at(20));
+    fleet.apply_directory(later, Instant::ZERO, at(20));
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, Some(layers(0, 40)));
 }
 
@@ -227,48 +227,49 @@
 fn use_by_peers_counts_until_the_peer_is_silent() {
     let mut fleet = fleet(two_zones());
     let full = Usage { cache: 1e9, ..Usage::default() };
-    let usage: Vec<_> = ["e1", "e2", "e3", "e4"].iter().map(|id| (key(id), full)).collect();
-    fleet.merge(&"peer".into(), &usage, at(100));
+    let usage: Vec<_> =
+        ["e1", "e2", "e3", "e4"].iter().map(|id| (endpoint_key(id), full)).collect();
+    fleet.merge_digest(&"peer".into(), &usage, at(100));
     assert_eq!(choose(&fleet, &USUAL), Err(Shortage::Full(0)));
-    fleet.merge(&"other".into(), &[], at(10_000));
+    fleet.merge_digest(&"other".into(), &[], at(10_000));
     assert!(choose(&fleet, &USUAL).is_ok());
 }
 
 #[test]
 fn plain_request_goes_to_the_least_loaded_and_not_to_a_failing_one() {
     let mut fleet = fleet(vec![plain(1, "a"), plain(2, "b"), plain(3, "b")]);
-    let first = fleet.pick(PLAIN, "a", &[], at(10)).unwrap();
+    let first = fleet.choose_endpoint(PLAIN, "a", &[], at(10)).unwrap();
     assert_eq!(&*first.id, "e1");
-    fleet.take(&first);
-    fleet.answered("e2", false);
-    assert_eq!(&*fleet.pick(PLAIN, "a", &[], at(10)).unwrap().id, "e3");
-    fleet.give(&first);
-    assert_eq!(&*fleet.pick(PLAIN, "a", &[], at(10)).unwrap().id, "e1");
+    fleet.add_request(&first);
+    fleet.record_answer("e2", false);
+    assert_eq!(&*fleet.choose_endpoint(PLAIN, "a", &[], at(10)).unwrap().id, "e3");
+    fleet.remove_request(&first);
+    assert_eq!(&*fleet.choose_endpoint(PLAIN, "a", &[], at(10)).unwrap().id, "e1");
 }
 
 #[test]
 fn doubted_endpoint_returns_and_is_doubted_for_longer() {
     let mut fleet = fleet(vec![plain(1, "a"), plain(2, "b")]);
-    let picked = |fleet: &Fleet, ms| fleet.pick(PLAIN, "a", &[], at(ms)).unwrap().id;
-    fleet.fail("e1", at(0));
-    fleet.answered("e1", true);
+    let picked = |fleet: &Fleet, ms| fleet.choose_endpoint(PLAIN, "a", &[], at(ms)).unwrap().id;
+    fleet.record_failure("e1", at(0));
+    fleet.record_answer("e1", true);
     assert_eq!(&*picked(&fleet, 399), "e2");
     // Once it may be used again, only its share of failures counts.
-    fleet.fail("e2", at(390));
+    fleet.record_failure("e2", at(390));
     assert_eq!(&*picked(&fleet, 400), "e1");
-    fleet.fail("e1", at(400));
-    fleet.fail("e1", at(400));
+    fleet.record_failure("e1", at(400));
+    fleet.record_failure("e1", at(400));
     assert_eq!(&*picked(&fleet, 1_199), "e2");
 }
 
 #[test]
 fn last_endpoint_is_used_though_it_failed() {
     let mut plain = fleet(vec![plain(1, "a")]);
-    plain.fail("e1", at(0));
-    assert!(plain.pick(PLAIN, "a", &[], at(1)).is_some());
+    plain.record_failure("e1", at(0));
+    assert!(plain.choose_endpoint(PLAIN, "a", &[], at(1)).is_some());
     let mut fleet = fleet(two_zones());
-    fleet.fail("e1", at(99));
-    fleet.fail("e3", at(99));
+    fleet.record_failure("e1", at(99));
+    fleet.record_failure("e3", at(99));
     assert!(choose(&fleet, &USUAL).is_ok());
 }
 
@@ -277,23 +278,23 @@
     let mut fleet = fleet(two_zones());
     let slow =
         |layers| Report { incarnation: 1, layers: Some(layers), pace: 12.0, ..Report::default() };
-    assert!(fleet.report("e1", &slow(layers(0, 40)), at(1)).is_some());
-    assert!(fleet.report("e1", &slow(layers(0, 40)), at(2)).is_none(), "nothing changed");
+    assert!(fleet.apply_report("e1", &slow(layers(0, 40)), at(1)).is_some());
+    assert!(fleet.apply_report("e1", &slow(layers(0, 40)), at(2)).is_none(), "nothing changed");
     assert_eq!(ids(&choose(&fleet, &USUAL).unwrap())[0], "e3");
-    fleet.report("e3", &slow(layers(0, 40)), at(3));
+    fleet.apply_report("e3", &slow(layers(0, 40)), at(3));
     assert!(choose(&fleet, &USUAL).is_ok());
 }
 
-const SEEN: Observed =
-    Observed { endpoint: 0, incarnation: 1, layers: None, pace: 1.0, age: Duration::ZERO };
+const SEEN: Observation =
+    Observation { endpoint: 0, incarnation: 1, layers: None, pace: 1.0, age: Duration::ZERO };
 
 #[test]
 fn what_a_peer_saw_counts_for_the_same_start_only() {
     let mut fleet = fleet(two_zones());
-    let mut seen = Observed { endpoint: key("e1"), incarnation: 2, ..SEEN };
-    assert_eq!(fleet.relay(&seen, at(1)), None);
+    let mut seen = Observation { endpoint: endpoint_key("e1"), incarnation: 2, ..SEEN };
+    assert_eq!(fleet.apply_observation(&seen, at(1)), None);
     seen.incarnation = 1;
-    assert_eq!(fleet.relay(&seen, at(1)).as_deref(), Some("e1"));
+    assert_eq!(fleet.apply_observation(&seen, at(1)).as_deref(), Some("e1"));
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, None);
 }
 
@@ -301,12 +302,12 @@
 fn what_a_peer_saw_earlier_does_not_undo_a_report() {
     let mut fleet = fleet(two_zones());
     let report = Report { incarnation: 1, layers: Some(layers(0, 50)), ..Report::default() };
-    fleet.report("e1", &report, at(1_000));
+    fleet.apply_report("e1", &report, at(1_000));
     let age = Duration::from_millis(100);
-    let seen = Observed { endpoint: key("e1"), age, ..SEEN };
-    assert_eq!(fleet.relay(&seen, at(1_050)), None, "seen at 950");
+    let seen = Observation { endpoint: endpoint_key("e1"), age, ..SEEN };
+    assert_eq!(fleet.apply_observation(&seen, at(1_050)), None, "seen at 950");
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, Some(layers(0, 50)));
-    assert!(fleet.relay(&seen, at(1_150)).is_some(), "seen at 1,050");
+    assert!(fleet.apply_observation(&seen, at(1_150)).is_some(), "seen at 1,050");
 }
 
 #[test]
@@ -315,12 +316,12 @@
     let entries: Vec<_> =
         (1..=12).map(|n| zone(n, "a")).chain((13..=24).map(|n| zone(n, "b"))).collect();
     let mut fleet = fleet(entries);
-    let usable = |fleet: &Fleet| fleet.usable(MODEL, at(1_001));
+    let usable = |fleet: &Fleet| fleet.usable_count(MODEL, at(1_001));
     for id in ["e1", "e2"] {
-        fleet.fail(id, at(1_000));
+        fleet.record_failure(id, at(1_000));
     }
     assert_eq!(usable(&fleet), 22);
-    fleet.fail("e3", at(1_000));
+    fleet.record_failure("e3", at(1_000));
     assert_eq!(usable(&fleet), 12, "a quarter of the zone failed");
 }
 
@@ -330,7 +331,7 @@
     let chain = choose(&fleet, &USUAL).unwrap();
     for _ in 0..streams {
         let mut claim = fleet.claim(chain.clone(), &USUAL);
-        fleet.begin(&mut claim);
+        fleet.finish_prefill(&mut claim);
     }
     (fleet, chain)
 }
@@ -340,7 +341,7 @@
 #[test_case(3, 130 => 2; "every part of the chain")]
 fn endpoints_in_use_that_fall_silent_are_found(streams: usize, silent_ms: u64) -> usize {
     let (mut fleet, chain) = passing(streams);
-    fleet.progress(&chain, Some(Duration::from_millis(80)), at(1_000));
+    fleet.record_progress(&chain, Some(Duration::from_millis(80)), at(1_000));
     fleet.stalled(at(1_000 + silent_ms)).len()
 }
 
@@ -348,7 +349,7 @@
 fn slower_streams_are_given_more_time() {
     let (mut fleet, chain) = passing(3);
     for event in 0..600 {
-        fleet.progress(&chain, Some(Duration::from_millis(160)), at(1_000 + event));
+        fleet.record_progress(&chain, Some(Duration::from_millis(160)), at(1_000 + event));
     }
     assert!(fleet.stalled(at(1_800)).is_empty());
     assert_eq!(fleet.stalled(at(1_900)).len(), 2);
@@ -357,19 +358,19 @@
 #[test]
 fn dead_endpoint_gets_nothing_until_it_reports() {
     let mut fleet = fleet(two_zones());
-    fleet.die("e1", at(10));
+    fleet.mark_dead("e1", at(10));
     assert!(fleet.is_dead("e1"));
     // Also long after a doubt would have passed.
     let begins = |fleet: &Fleet| {
         fleet.chain(&query(&huge(), &USUAL), at(60_000)).map(|chain| chain[0].id.to_string())
     };
     assert_eq!(begins(&fleet).unwrap(), "e3");
-    assert_eq!(fleet.overdue(at(11)).len(), 0);
-    assert_eq!(fleet.overdue(at(60_000)).len(), 1);
-    fleet.die("e3", at(20));
+    assert_eq!(fleet.due_for_probe(at(11)).len(), 0);
+    assert_eq!(fleet.due_for_probe(at(60_000)).len(), 1);
+    fleet.mark_dead("e3", at(20));
     assert_eq!(begins(&fleet), Err(Shortage::Uncovered(0)));
     let report = Report { incarnation: 1, layers: Some(layers(0, 40)), ..Report::default() };
-    fleet.report("e1", &report, at(30));
+    fleet.apply_report("e1", &report, at(30));
     assert!(!fleet.is_dead("e1"));
     assert_eq!(begins(&fleet).unwrap(), "e1");
 }
@@ -379,28 +380,28 @@
     let zone = |n| endpoint(n, "a", "large", Some(layers(0, 10)));
     let mut fleet = fleet((1..=6).map(zone).collect());
     let lost = |fleet: &Fleet, ms| fleet.is_lost(fleet.get("e1").unwrap(), at(ms));
-    fleet.die("e1", at(1_000));
-    fleet.die("e1", at(1_400));
+    fleet.mark_dead("e1", at(1_000));
+    fleet.mark_dead("e1", at(1_400));
     assert!(!lost(&fleet, 1_599));
     assert!(lost(&fleet, 1_600));
-    fleet.die("e2", at(1_600));
+    fleet.mark_dead("e2", at(1_600));
     assert!(!lost(&fleet, 2_000), "a third of the zone is silent");
 }
 
 #[test]
 fn endpoint_without_memory_gets_nothing_for_a_moment() {
     let mut fleet = fleet(two_zones());
-    fleet.crowd("e1", at(50));
+    fleet.record_cache_full("e1", at(50));
     let begins =
         |fleet: &Fleet, ms| fleet.chain(&query(&huge(), &USUAL), at(ms)).unwrap()[0].id.to_string();
     assert_eq!(begins(&fleet, 149), "e3");
     assert_eq!(begins(&fleet, 150), "e1");
     // What was sent before it was known to be full says nothing more.
-    fleet.crowd("e1", at(200));
-    fleet.crowd("e1", at(210));
+    fleet.record_cache_full("e1", at(200));
+    fleet.record_cache_full("e1", at(210));
     assert_eq!(begins(&fleet, 399), "e3");
     assert_eq!(begins(&fleet, 400), "e1");
-    fleet.crowd("e1", at(5_000));
+    fleet.record_cache_full("e1", at(5_000));
     assert_eq!(begins(&fleet, 5_100), "e1");
 }
 
@@ -409,14 +410,14 @@
     let mut fleet = fleet(two_zones());
     let chain = choose(&fleet, &USUAL).unwrap();
     let mut claim = fleet.claim(chain.clone(), &USUAL);
-    fleet.begin(&mut claim);
+    fleet.finish_prefill(&mut claim);
     let mut moved = chain.clone();
     moved[1].id = "e4".into();
     fleet.reroute(&mut claim, moved);
     let reading: Vec<_> =
-        fleet.digest().into_iter().filter(|(_, usage)| usage.reading > 0.0).collect();
-    assert_eq!(reading.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [key("e4")]);
-    fleet.begin(&mut claim);
+        fleet.digest().into_iter().filter(|(_, usage)| usage.prefill > 0.0).collect();
+    assert_eq!(reading.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [endpoint_key("e4")]);
+    fleet.finish_prefill(&mut claim);
     fleet.release(&claim);
     assert!(fleet.digest().is_empty());
 }
@@ -424,8 +425,8 @@
 #[test]
 fn holders_of_a_layer_are_described_with_their_state() {
     let mut fleet = fleet(two_zones());
-    fleet.crowd("e1", at(50));
-    fleet.fail("e3", at(50));
-    let text = fleet.holders(&query(&huge(), &USUAL), 7, at(60));
+    fleet.record_cache_full("e1", at(50));
+    fleet.record_failure("e3", at(50));
+    let text = fleet.describe_holders(&query(&huge(), &USUAL), 7, at(60));
     assert_eq!(text, "e1 0.00 crowded, e3 0.00 doubted");
 }
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use mimosashift::admit::pressure::{MAX_WAIT, Pressure};
-use mimosashift::currency::{Currency, Relayed};
+use mimosashift::admit::pressure::{MAX_WAIT, MemoryPressure};
 use mimosashift::deployment::{Denied, Deployment, Kind, Limits, Route, Service, Team};
+use mimosashift::freshness::{Freshness, PeerConfirmation};
 use mimosashift::peer::{Config, Digest, Event, Peers};
 use mimosashift::pipeline::retry::{Bound, Window};
 use mimosashift::stream::Events;
@@ -88,11 +88,11 @@
 
 #[test]
 fn key_is_used_within_the_bound_after_a_reading_began() {
-    let mut currency = Currency::default();
-    assert!(!currency.is_current(5 * S, at(0)));
+    let mut currency = Freshness::default();
+    assert!(!currency.is_fresh(5 * S, at(0)));
     currency.confirm(at(1_000));
-    assert!(currency.is_current(5 * S, at(5_700)));
-    assert!(!currency.is_current(5 * S, at(5_750)));
+    assert!(currency.is_fresh(5 * S, at(5_700)));
+    assert!(!currency.is_fresh(5 * S, at(5_750)));
     currency.confirm(at(500));
     assert_eq!(
         currency.age(at(1_000)),
@@ -103,12 +103,12 @@
 
 #[test]
 fn relayed_confirmation_counts_from_before_it_was_asked_for() {
-    let mut currency = Currency::default();
-    let relayed = Relayed { asked: at(2_000), revision: 7, age: 300 * S / 1_000 };
-    assert!(!currency.relay(&relayed, 6), "the peer holds a newer revision");
+    let mut currency = Freshness::default();
+    let relayed = PeerConfirmation { request_sent: at(2_000), revision: 7, age: 300 * S / 1_000 };
+    assert!(!currency.confirm_from_peer(&relayed, 6), "the peer holds a newer revision");
     assert_eq!(currency.age(at(2_000)), None);
     // However long the answer took, the age counts from the question.
-    assert!(currency.relay(&relayed, 7));
+    assert!(currency.confirm_from_peer(&relayed, 7));
     assert_eq!(currency.age(at(9_000)), Some(Duration::from_millis(7_300)));
 }
 
@@ -170,35 +170,35 @@
 
 #[test]
 fn only_as_many_wait_as_are_served_in_time() {
-    let mut pressure = Pressure::default();
+    let mut pressure = MemoryPressure::default();
     for ms in 0..2_000 {
-        pressure.admitted(at(ms));
+        pressure.record_admitted(at(ms));
     }
     // 1,000 a second were admitted, of which some are forgotten.
-    let waiting = (0..1_000).filter(|_| pressure.enter(at(2_000))).count();
+    let waiting = (0..1_000).filter(|_| pressure.begin_wait(at(2_000))).count();
     let served = 1_000.0 * MAX_WAIT.as_secs_f64();
     assert!((waiting as f64) < served && (waiting as f64) > served / 2.0, "{waiting}");
 }
 
 #[test]
 fn some_may_wait_though_nothing_was_admitted() {
-    let mut pressure = Pressure::default();
-    assert!(pressure.enter(at(0)) && pressure.enter(at(0)));
-    assert!(!pressure.enter(at(0)));
-    pressure.leave();
-    assert!(pressure.enter(at(0)));
+    let mut pressure = MemoryPressure::default();
+    assert!(pressure.begin_wait(at(0)) && pressure.begin_wait(at(0)));
+    assert!(!pressure.begin_wait(at(0)));
+    pressure.end_wait();
+    assert!(pressure.begin_wait(at(0)));
 }
 
 #[test]
 fn refused_clients_come_back_the_later_the_more_are_refused() {
-    let mut calm = Pressure::default();
-    calm.refused(at(0));
+    let mut calm = MemoryPressure::default();
+    calm.record_refused(at(0));
     for _ in 0..99 {
-        calm.admitted(at(0));
+        calm.record_admitted(at(0));
     }
-    let mut pressed = Pressure::default();
+    let mut pressed = MemoryPressure::default();
     for _ in 0..100 {
-        pressed.refused(at(0));
+        pressed.record_refused(at(0));
     }
     assert!(calm.retry_after(0.5) < 300 * S / 1_000);
     assert!(pressed.retry_after(0.5) > 2 * S);
@@ -304,7 +304,10 @@
     let mut told = Digest { config, ..digest("r2", 1, 1) };
     assert_eq!(told.relayed(), None);
     told.echo = Some(at(500));
-    assert_eq!(told.relayed(), Some(Relayed { asked: at(500), revision: 7, age: S }));
+    assert_eq!(
+        told.relayed(),
+        Some(PeerConfirmation { request_sent: at(500), revision: 7, age: S })
+    );
 }
 
 /// Retries in any window stay within the ratio and the extra ones, also when
--- a/mimosashift/tests/order.rs
+++ b/mimosashift/tests/order.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mimosashift::order::dispatch::{Dispatch, MIN_REPEAT};
+use mimosashift::order::dispatch::{MIN_REPEAT, OrderQueue};
 use mimosashift::order::lease::{Lease, Settings};
 use mimosashift::order::pace::Pacer;
 use mimosashift::order::placement::{Candidate, Policy, Range, host, plan};
@@ -38,15 +38,15 @@
 fn held() -> (Lease, Row) {
     let mut a = lease("a");
     let write = a.write(false, secs(0)).unwrap();
-    a.committed(&Outcome::Done(1), secs(3));
+    a.on_write_result(&Outcome::Done(1), secs(3));
     (a, written(&write, 1))
 }
 
 #[test]
 fn lease_counts_from_before_the_write() {
     let (a, _) = held();
-    assert_eq!(a.authority(true, secs(6)), Some(FencingNumber(1)));
-    assert_eq!(a.authority(true, secs(7)), None);
+    assert_eq!(a.authorize(true, secs(6)), Some(FencingNumber(1)));
+    assert_eq!(a.authorize(true, secs(7)), None);
 }
 
 /// Many routers look at a lease that one of them has just taken; none may take
@@ -72,26 +72,26 @@
     assert_eq!(b.write(false, secs(14)), None, "the old lease may still run");
     let write = b.write(true, secs(5)).unwrap();
     assert_eq!(write.checks, [Check::Revision(b.key().clone(), 1)]);
-    b.committed(&Outcome::Done(2), secs(5));
-    assert_eq!(b.authority(true, secs(6)), Some(FencingNumber(2)));
-    assert_eq!(b.authority(false, secs(6)), None);
+    b.on_write_result(&Outcome::Done(2), secs(5));
+    assert_eq!(b.authorize(true, secs(6)), Some(FencingNumber(2)));
+    assert_eq!(b.authorize(false, secs(6)), None);
     let renewal = b.write(false, secs(10)).unwrap();
     assert_eq!(renewal.checks, [Check::Revision(b.key().clone(), 2)]);
-    b.committed(&Outcome::Done(3), secs(10));
-    assert_eq!(b.authority(false, secs(14)), None);
-    assert_eq!(b.authority(false, secs(15)), Some(FencingNumber(2)));
+    b.on_write_result(&Outcome::Done(3), secs(10));
+    assert_eq!(b.authorize(false, secs(14)), None);
+    assert_eq!(b.authorize(false, secs(15)), Some(FencingNumber(2)));
 }
 
 #[test]
 fn lost_renewal_is_repeated_and_recognised() {
     let (mut a, _) = held();
     let write = a.write(false, secs(4)).unwrap();
-    a.committed(&Outcome::Unknown, secs(5));
+    a.on_write_result(&Outcome::Unknown, secs(5));
     assert_eq!(a.write(false, secs(6)).as_ref(), Some(&write));
     let landed = written(&write, 2);
-    a.committed(&Outcome::NotDone(Refusal::Conflict(Some(landed))), secs(6));
-    assert_eq!(a.authority(true, secs(10)), Some(FencingNumber(1)));
-    assert_eq!(a.authority(true, secs(11)), None, "counted from the first write");
+    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(landed))), secs(6));
+    assert_eq!(a.authorize(true, secs(10)), Some(FencingNumber(1)));
+    assert_eq!(a.authorize(true, secs(11)), None, "counted from the first write");
 }
 
 #[test]
@@ -101,29 +101,29 @@
     b.observe(Some(&row), secs(1));
     let theirs = written(&b.write(true, secs(1)).unwrap(), 2);
     a.write(false, secs(4)).unwrap();
-    a.committed(&Outcome::NotDone(Refusal::Conflict(Some(theirs))), secs(4));
-    assert_eq!(a.authority(true, secs(4)), None);
+    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(theirs))), secs(4));
+    assert_eq!(a.authorize(true, secs(4)), None);
 }
 
 #[test]
 fn order_is_repeated_only_after_a_late_report() {
     let (a, _) = held();
-    let mut dispatch = Dispatch::new(true);
-    dispatch.want(Target::Role(name("decode")));
-    dispatch.want(Target::Role(name("decode")));
-    assert_eq!(dispatch.len(), 1);
-    assert_eq!(dispatch.next(&a, secs(1)), None, "not observed yet");
-    dispatch.observe(secs(0), |_| false);
-    let order = dispatch.next(&a, secs(1)).unwrap();
+    let mut queue = OrderQueue::new(true);
+    queue.enqueue(Target::Role(name("decode")));
+    queue.enqueue(Target::Role(name("decode")));
+    assert_eq!(queue.len(), 1);
+    assert_eq!(queue.next(&a, secs(1)), None, "not observed yet");
+    queue.observe(secs(0), |_| false);
+    let order = queue.next(&a, secs(1)).unwrap();
     assert_eq!(order.number, FencingNumber(1));
-    assert_eq!(dispatch.next(&a, secs(2)), None);
-    dispatch.observe(secs(60), |_| false);
-    assert_eq!(dispatch.next(&a, secs(2)), None, "the report may be from before");
-    dispatch.observe(secs(1) + MIN_REPEAT, |_| false);
-    assert_eq!(dispatch.next(&a, secs(8)), None, "the lease has ended");
-    assert!(dispatch.next(&a, secs(2)).is_some());
-    dispatch.observe(secs(3), |_| true);
-    assert!(dispatch.is_empty());
+    assert_eq!(queue.next(&a, secs(2)), None);
+    queue.observe(secs(60), |_| false);
+    assert_eq!(queue.next(&a, secs(2)), None, "the report may be from before");
+    queue.observe(secs(1) + MIN_REPEAT, |_| false);
+    assert_eq!(queue.next(&a, secs(8)), None, "the lease has ended");
+    assert!(queue.next(&a, secs(2)).is_some());
+    queue.observe(secs(3), |_| true);
+    assert!(queue.is_empty());
 }
 
 #[test]
