--- a/mimosashift/src/freshness.rs
+++ b/mimosashift/src/freshness.rs
@@ -1,56 +1,57 @@
-//! How long the installed configuration may be trusted.
+//! How long the keys of the installed configuration may be accepted.
 //!
-//! A key may be taken away at any time. A reading of the store proves that it
-//! had not been by the time the reading began, so it may be used until the
-//! bound after that. See `docs/design/deployment.md`, "Staleness".
+//! A key may be revoked at any time. A read of the store proves that the key
+//! had not been revoked when the read began, so the key may be accepted until
+//! the revocation bound has passed since then. See
+//! `docs/design/deployment.md`, "Staleness".
 
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// Share of the bound that is not used, for clocks that run at unlike rates.
+/// The bound is shortened by one part in this many, to allow for clock drift.
 const MARGIN_DIVISOR: u32 = 20;
 
-/// When the installed configuration was last known to be the newest.
+/// When the installed configuration was last confirmed to be the newest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Freshness {
-    confirmed: Option<Instant>,
+    confirmed_at: Option<Instant>,
 }
 
-/// A confirmation that a peer passes on.
+/// A confirmation forwarded by a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerConfirmation {
-    /// When this router sent the stamp that the peer returned.
+    /// When this router sent the timestamp that the peer echoed.
     pub request_sent: Instant,
-    /// Revision that the peer holds.
+    /// Revision installed at the peer.
     pub revision: u64,
-    /// How long ago the peer's confirmation was when it answered.
+    /// Age of the peer's own confirmation when it answered.
     pub age: Duration,
 }
 
 impl Freshness {
-    /// Takes in a reading of the store that began at `began` and showed the
+    /// Records a read of the store that started at `read_started` and found the
     /// installed configuration to be the newest.
-    pub fn confirm(&mut self, began: Instant) {
-        self.confirmed = self.confirmed.max(Some(began));
+    pub fn confirm(&mut self, read_started: Instant) {
+        self.confirmed_at = self.confirmed_at.max(Some(read_started));
     }
 
-    /// Takes in a peer's confirmation, if it speaks of what is installed;
-    /// false when the peer holds a newer revision.
-    pub fn confirm_from_peer(&mut self, relayed: &PeerConfirmation, installed: u64) -> bool {
-        if relayed.revision > installed {
+    /// Records a peer's confirmation; returns false, without recording it, if
+    /// the peer has a newer revision than `installed`.
+    pub fn confirm_from_peer(&mut self, confirmation: &PeerConfirmation, installed: u64) -> bool {
+        if confirmation.revision > installed {
             return false;
         }
-        self.confirm(relayed.request_sent - relayed.age);
+        self.confirm(confirmation.request_sent - confirmation.age);
         true
     }
 
     /// Time since the last confirmation.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.confirmed.map(|confirmed| now.since(confirmed))
+        self.confirmed_at.map(|confirmed_at| now.since(confirmed_at))
     }
 
-    /// Whether keys may be used under a bound.
+    /// Whether keys may be accepted under the revocation bound `bound`.
     pub fn is_fresh(&self, bound: Duration, now: Instant) -> bool {
         self.age(now).is_some_and(|age| age < bound - bound / MARGIN_DIVISOR)
     }
--- a/mimosashift/src/lib.rs
+++ b/mimosashift/src/lib.rs
@@ -1,8 +1,9 @@
 //! A router for model pipelines over mixed accelerators.
 //!
-//! Everything that decides is a plain state machine: inputs and the time go
-//! in, actions come out. The shell in `node` owns threads, sockets and clocks.
-//! `docs/DESIGN.md` gives the reasons and a picture of the modules.
+//! All decisions are made by state machines without I/O: they take inputs and
+//! the current time and return actions. The `node` module owns threads,
+//! sockets and clocks. `docs/DESIGN.md` gives the reasons and a diagram of the
+//! modules.
 
 pub mod admit;
 pub mod config;
--- a/mimosashift/src/time.rs
+++ b/mimosashift/src/time.rs
@@ -1,6 +1,6 @@
-//! Time as the decision code sees it.
+//! Points in time for the state machines.
 //!
-//! State machines never read a clock: the shell, a test or a benchmark hands
+//! State machines never read a clock: the node, a test or a benchmark passes
 //! them an [`Instant`]. See `docs/DESIGN.md`, "Decisions apart from input and
 //! output".
 
@@ -11,14 +11,14 @@
 
 /// A point in time, in microseconds since an epoch chosen by the caller.
 ///
-/// Two instants compare only when they come from the same clock.
+/// Instants are comparable only if they come from the same clock.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Instant(u64);
 
 impl Instant {
-    /// The epoch itself.
+    /// The epoch.
     pub const ZERO: Self = Self(0);
 
     /// An instant `micros` microseconds after the epoch.
@@ -36,7 +36,7 @@
         self.0
     }
 
-    /// Time since `earlier`, or zero when `earlier` lies later.
+    /// Time since `earlier`, or zero if `earlier` is later than this instant.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
