--- a/mimosashift/src/admit/limit.rs
+++ b/mimosashift/src/admit/limit.rs
@@ -1,57 +1,57 @@
-//! Team limits on requests and tokens a second.
+//! Per-team rate limits on requests and tokens per second.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::share::{Share, TeamId};
+use super::share::{DemandShares, TeamId};
 use crate::resource::{Name, Team};
 use crate::time::Instant;
 
-/// Time for which an unused allowance is kept.
-pub const BURST: Duration = Duration::from_millis(500);
+/// Time over which unused allowance accumulates.
+pub const BURST_WINDOW: Duration = Duration::from_millis(500);
 
-/// Requests for which an unused allowance is kept, however low the rate.
-const BURST_REQUESTS: f64 = 2.0;
-/// Time without a request after which a team is idle.
+/// Burst that is always allowed, in requests, however low the rate.
+const MIN_BURST_REQUESTS: f64 = 2.0;
+/// Time without a charged request after which a team is idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest hint when to try again.
+/// Longest retry delay returned to a caller.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Allowances of the active teams on this router.
+/// Token buckets of the active teams on this router.
 #[derive(Default)]
-pub struct Limits {
+pub struct TeamLimits {
     teams: HashMap<Name, Allowance>,
 }
 
 struct Allowance {
     requests: Bucket,
     tokens: Bucket,
-    refilled: Instant,
-    charged: Instant,
+    refilled_at: Instant,
+    last_charged: Instant,
 }
 
 /// A token bucket that may go into debt by one request.
 ///
-/// Debt lets a router whose share is less than one request a second still
-/// admit requests at that rate.
+/// Debt lets a router whose share is below one request per second still admit
+/// requests at that rate.
 #[derive(Default)]
 struct Bucket {
-    /// Limit over all routers, a second; 0 means none.
+    /// Limit over all routers, per second; 0 means no limit.
     limit: u32,
-    /// Cost of the latest request.
+    /// Cost of the most recent request.
     cost: f64,
-    /// This router's part of the limit, a second.
+    /// This router's share of the limit, per second.
     rate: f64,
     balance: f64,
 }
 
-impl Limits {
-    /// Charges a request of `cost` tokens, or returns after what time the
-    /// team's allowance will suffice.
+impl TeamLimits {
+    /// Charges a request of `cost` tokens, or returns the time until the team's
+    /// allowance suffices.
     pub fn charge(
         &mut self,
         now: Instant,
-        share: &Share,
+        shares: &DemandShares,
         name: &Name,
         team: &Team,
         cost: u32,
@@ -60,11 +60,11 @@
             return Ok(());
         }
         let allowance = self.teams.entry(name.clone()).or_insert_with(|| Allowance::new(now));
-        allowance.requests.set(team.requests_per_second, 1.0);
-        allowance.tokens.set(team.tokens_per_second, f64::from(cost));
-        allowance.refill(now, share.fraction(now, TeamId::from(name)));
-        allowance.charged = now;
-        let wait = allowance.wait();
+        allowance.requests.configure(team.requests_per_second, 1.0);
+        allowance.tokens.configure(team.tokens_per_second, f64::from(cost));
+        allowance.refill(now, shares.fraction(now, TeamId::from(name)));
+        allowance.last_charged = now;
+        let wait = allowance.time_to_refill();
         if wait > Duration::ZERO {
             return Err(wait);
         }
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// Gives back what a request that never ran was charged.
+    /// Refunds the charge of a request that never ran.
     pub fn refund(&mut self, name: &Name, cost: u32) {
         if let Some(allowance) = self.teams.get_mut(name) {
             allowance.requests.balance += 1.0;
@@ -81,31 +81,32 @@
         }
     }
 
-    /// Replaces the estimated tokens of a request by the actual ones.
+    /// Replaces the estimated token count of a request by the actual one.
     pub fn correct(&mut self, name: &Name, estimate: u32, actual: u32) {
         if let Some(allowance) = self.teams.get_mut(name) {
             allowance.tokens.balance += f64::from(estimate) - f64::from(actual);
         }
     }
 
-    /// Adds to every allowance what it gained up to now.
+    /// Refills every bucket up to `now`.
     ///
-    /// Call it before this router's share changes, so that time already past
-    /// counts at the share that held then.
-    pub fn refill(&mut self, now: Instant, share: &Share) {
+    /// Call it before this router's share changes, so that the elapsed time is
+    /// credited at the share that applied to it.
+    pub fn refill(&mut self, now: Instant, shares: &DemandShares) {
         for (name, allowance) in &mut self.teams {
-            allowance.refill(now, share.fraction(now, TeamId::from(name)));
+            allowance.refill(now, shares.fraction(now, TeamId::from(name)));
         }
     }
 
-    /// Drops teams that were idle and owe nothing.
+    /// Drops idle teams that are not in debt.
     pub fn expire(&mut self, now: Instant) {
         self.teams.retain(|_, allowance| {
-            now.since(allowance.charged) < IDLE_TIMEOUT || allowance.wait() > Duration::ZERO
+            now.since(allowance.last_charged) < IDLE_TIMEOUT
+                || allowance.time_to_refill() > Duration::ZERO
         });
     }
 
-    /// Teams for which state is held.
+    /// Number of teams for which state is held.
     pub fn teams(&self) -> usize {
         self.teams.len()
     }
@@ -114,23 +115,23 @@
 impl Allowance {
     fn new(now: Instant) -> Self {
         let (requests, tokens) = (Bucket::default(), Bucket::default());
-        Self { requests, tokens, refilled: now, charged: now }
+        Self { requests, tokens, refilled_at: now, last_charged: now }
     }
 
     fn refill(&mut self, now: Instant, fraction: f64) {
-        let elapsed = now.since(self.refilled).as_secs_f64();
-        self.refilled = now;
+        let elapsed = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
         self.requests.refill(elapsed, fraction);
         self.tokens.refill(elapsed, fraction);
     }
 
-    fn wait(&self) -> Duration {
-        self.requests.wait().max(self.tokens.wait())
+    fn time_to_refill(&self) -> Duration {
+        self.requests.time_to_refill().max(self.tokens.time_to_refill())
     }
 }
 
 impl Bucket {
-    fn set(&mut self, limit: u32, cost: f64) {
+    fn configure(&mut self, limit: u32, cost: f64) {
         self.limit = limit;
         self.cost = cost;
     }
@@ -141,12 +142,13 @@
             return;
         }
         self.rate = f64::from(self.limit) * fraction;
-        let most = (self.rate * BURST.as_secs_f64()).max(BURST_REQUESTS * self.cost);
-        self.balance = (self.balance + self.rate * elapsed).min(most);
+        let max_balance =
+            (self.rate * BURST_WINDOW.as_secs_f64()).max(MIN_BURST_REQUESTS * self.cost);
+        self.balance = (self.balance + self.rate * elapsed).min(max_balance);
     }
 
     /// Time until the balance is no longer negative.
-    fn wait(&self) -> Duration {
+    fn time_to_refill(&self) -> Duration {
         if self.limit == 0 || self.balance >= 0.0 {
             return Duration::ZERO;
         }
--- a/mimosashift/src/admit/pressure.rs
+++ b/mimosashift/src/admit/pressure.rs
@@ -1,91 +1,95 @@
-//! How hard the engines are pressed, and who may wait for memory.
+//! Waiting and retry delays when the engines are short of memory.
 //!
-//! A request may wait for as long as it can still be on time, and only as many
-//! wait as are served in that time. Whoever is refused is told to come back
-//! the later, the larger the share that is refused.
+//! A request may wait only as long as it can still be answered in time, and
+//! only as many requests may wait as are served in that time. The larger the
+//! fraction of requests being refused, the longer the retry delay returned to
+//! a refused client.
 
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// Longest wait for memory: with the usual time to a first event it leaves a
-/// request within the shortest latency objective in use, 500 ms.
+/// Longest wait for memory. Together with the usual time to the first event it
+/// stays within the shortest latency objective in use, 500 ms.
 pub const MAX_WAIT: Duration = Duration::from_millis(250);
 
-/// Time over which what was admitted and refused is forgotten.
-const MEMORY: Duration = Duration::from_secs(2);
+/// Time constant of the decaying counts of admitted and refused requests.
+const AVERAGING_TIME: Duration = Duration::from_secs(2);
 
-/// Shortest time that a refused client is told to wait; one that is then
-/// admitted at once is still on time.
-const MIN_RETRY: Duration = Duration::from_millis(250);
+/// Shortest retry delay; a client that is admitted on its first retry is still
+/// answered in time.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Share of refusals up to which a shortage counts as momentary: single
-/// requests that met a full endpoint.
-const MOMENTARY: f64 = 0.02;
+/// Fraction of refusals that does not count as a shortage: single requests that
+/// met a full endpoint.
+const TRANSIENT_REFUSALS: f64 = 0.02;
 
-/// Longest such time, told when everything is refused: a third of the usual
-/// deadline of 20 s, beyond which clients do not wait.
-const MAX_RETRY: Duration = Duration::from_millis(6_500);
+/// Longest retry delay, returned when everything is refused: a third of the
+/// usual deadline of 20 s, beyond which clients do not wait.
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(6_500);
 
-/// Fewest requests that may wait, whatever has been admitted lately.
-const MIN_WAITING: f64 = 2.0;
+/// Number of requests that may always wait, whatever the recent admission rate.
+const MIN_WAIT_CAPACITY: f64 = 2.0;
 
-/// What was admitted and refused lately, and who waits.
+/// Recent admissions and refusals, and the number of waiting requests.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryPressure {
     admitted: f64,
     refused: f64,
-    at: Instant,
+    updated_at: Instant,
     waiting: usize,
 }
 
 impl MemoryPressure {
-    /// Lets one more request wait, if it is likely to be served in time.
+    /// Lets one more request wait if it is likely to be served in time; returns
+    /// whether it may.
     pub fn begin_wait(&mut self, now: Instant) -> bool {
         self.decay(now);
-        let per_s = self.admitted / MEMORY.as_secs_f64();
-        let room = (per_s * MAX_WAIT.as_secs_f64()).max(MIN_WAITING);
-        let enters = (self.waiting as f64) < room;
-        self.waiting += usize::from(enters);
-        enters
+        let admitted_per_second = self.admitted / AVERAGING_TIME.as_secs_f64();
+        let capacity = (admitted_per_second * MAX_WAIT.as_secs_f64()).max(MIN_WAIT_CAPACITY);
+        let may_wait = (self.waiting as f64) < capacity;
+        self.waiting += usize::from(may_wait);
+        may_wait
     }
 
-    /// Notes that a request no longer waits.
+    /// Records that a request no longer waits.
     pub const fn end_wait(&mut self) {
         self.waiting -= 1;
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub const fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Notes that a request was admitted.
+    /// Records an admitted request.
     pub fn record_admitted(&mut self, now: Instant) {
         self.decay(now);
         self.admitted += 1.0;
     }
 
-    /// Notes that a request was refused.
+    /// Records a refused request.
     pub fn record_refused(&mut self, now: Instant) {
         self.decay(now);
         self.refused += 1.0;
     }
 
-    /// When a refused client shall come back, by a draw from `0.0..1.0` that
-    /// spreads those that come back.
-    pub fn retry_after(&self, draw: f64) -> Duration {
-        let all = self.admitted + self.refused;
-        let share = if all > 0.0 { self.refused / all } else { 0.0 };
-        let spread =
-            MAX_RETRY.saturating_sub(MIN_RETRY).mul_f64((share - MOMENTARY).max(0.0).sqrt() * draw);
-        MIN_RETRY + spread
+    /// Retry delay for a refused client; `random` from `0.0..1.0` spreads the
+    /// retries over time.
+    pub fn retry_after(&self, random: f64) -> Duration {
+        let total = self.admitted + self.refused;
+        let share = if total > 0.0 { self.refused / total } else { 0.0 };
+        let spread = MAX_RETRY_AFTER
+            .saturating_sub(MIN_RETRY_AFTER)
+            .mul_f64((share - TRANSIENT_REFUSALS).max(0.0).sqrt() * random);
+        MIN_RETRY_AFTER + spread
     }
 
     fn decay(&mut self, now: Instant) {
-        let factor = (-now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64()).exp();
+        let factor =
+            (-now.since(self.updated_at).as_secs_f64() / AVERAGING_TIME.as_secs_f64()).exp();
         self.admitted *= factor;
         self.refused *= factor;
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 }
--- a/mimosashift/src/admit/queue.rs
+++ b/mimosashift/src/admit/queue.rs
@@ -1,31 +1,32 @@
-//! Bounded queue: strict priority between levels, weighted fair queueing
+//! Bounded request queue: strict priority between levels, weighted fair queueing
 //! between the teams of a level.
 //!
-//! Start-time fair queueing, see `docs/design/admission.md`. Every operation
-//! takes time logarithmic in the number of queued requests and active teams.
+//! The queue uses start-time fair queueing, see `docs/design/admission.md`.
+//! Every operation takes time logarithmic in the number of queued requests and
+//! active teams.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use super::Ticket;
 use crate::resource::Name;
 
-/// Virtual time that one token takes at weight 1.
-const TOKEN_TIME: u64 = 1 << 16;
+/// Virtual time of one token at weight 1.
+const VIRTUAL_TIME_PER_TOKEN: u64 = 1 << 16;
 
-/// A request as the queue sees it.
+/// A queued request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// Identifies it.
+    /// Identifies the request.
     pub ticket: Ticket,
-    /// Priority level, 0 first.
+    /// Priority level; 0 is the highest.
     pub level: u8,
-    /// Whose it is.
+    /// The team that sent it.
     pub team: Name,
-    /// The team's share among teams of the same level.
+    /// Weight of the team among the teams of the same level.
     pub weight: u32,
     /// Estimated cost, in tokens.
     pub cost: u32,
-    /// Memory that it holds while queued.
+    /// Memory held while queued, in bytes.
     pub bytes: usize,
 }
 
@@ -45,7 +46,8 @@
     by_start: BTreeSet<(u64, Name)>,
     /// Backlogged teams by the virtual finish of their newest request.
     by_finish: BTreeSet<(u64, Name)>,
-    /// Teams with nothing queued that are still ahead of their share.
+    /// Teams with nothing queued that have used more than their share, by
+    /// virtual start.
     idle: BTreeSet<(u64, Name)>,
     virtual_time: u64,
     cost: u64,
@@ -53,7 +55,7 @@
     bytes: usize,
 }
 
-/// One team within a level.
+/// The queue of one team within a level.
 struct Flow {
     weight: u32,
     start: u64,
@@ -72,28 +74,29 @@
         self.items.is_empty()
     }
 
-    /// Bytes of all queued requests.
+    /// Total size of all queued requests, in bytes.
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Teams for which state is held.
+    /// Number of team states held, over all levels.
     pub fn teams(&self) -> usize {
         self.levels.values().map(|level| level.flows.len()).sum()
     }
 
-    /// Bytes of the levels served before `level`.
-    pub fn bytes_before(&self, level: u8) -> usize {
+    /// Total size of the requests queued at levels served before `level`, in
+    /// bytes.
+    pub fn bytes_at_higher_priority(&self, level: u8) -> usize {
         self.levels.range(..level).map(|(_, level)| level.bytes).sum()
     }
 
-    /// Estimated cost, in tokens, of what is served before a new request.
-    pub fn ahead(&self, level: u8, team: &Name, weight: u32) -> u64 {
-        let better: u64 = self.levels.range(..level).map(|(_, level)| level.cost).sum();
-        better + self.levels.get(&level).map_or(0, |level| level.ahead(team, weight))
+    /// Estimated cost, in tokens, of the requests served before a new one.
+    pub fn cost_ahead(&self, level: u8, team: &Name, weight: u32) -> u64 {
+        let higher_levels: u64 = self.levels.range(..level).map(|(_, level)| level.cost).sum();
+        higher_levels + self.levels.get(&level).map_or(0, |level| level.cost_ahead(team, weight))
     }
 
-    /// Adds a request behind its team's others.
+    /// Adds a request at the end of its team's queue.
     pub fn push(&mut self, item: Item) {
         let level = self.levels.entry(item.level).or_default();
         let mut flow = level.detach(&item.team, item.weight);
@@ -106,19 +109,19 @@
         self.items.insert(item.ticket, item);
     }
 
-    /// Takes the request to be served next.
+    /// Removes and returns the request to serve next.
     pub fn pop(&mut self) -> Option<Item> {
         let (_, level) = self.levels.first_key_value()?;
         let (_, team) = level.by_start.first()?;
         let oldest = level.flows[team].queue.first_key_value().map(|(ticket, _)| *ticket)?;
         let item = self.items.remove(&oldest)?;
         self.bytes -= item.bytes;
-        self.level(&item, |level| level.serve(&item));
+        self.update_level(&item, |level| level.dequeue(&item));
         Some(item)
     }
 
-    /// Takes the request to be shed next: of the last level, the newest one
-    /// of the team that is furthest over its share.
+    /// Removes and returns the request to shed next: at the lowest priority
+    /// level, the newest one of the team that is furthest over its share.
     pub fn shed(&mut self) -> Option<Item> {
         let (_, level) = self.levels.last_key_value()?;
         let (_, team) = level.by_finish.last()?;
@@ -126,24 +129,25 @@
         self.remove(newest)
     }
 
-    /// Takes a request out, wherever it stands.
+    /// Removes a request from any position in the queue.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Item> {
         let item = self.items.remove(&ticket)?;
         self.bytes -= item.bytes;
-        self.level(&item, |level| level.withdraw(&item));
+        self.update_level(&item, |level| level.withdraw(&item));
         Some(item)
     }
 
     /// Replaces the estimated cost of a served request by the actual one.
     pub fn correct(&mut self, item: &Item, actual: u32) {
         if self.levels.contains_key(&item.level) {
-            self.level(item, |level| level.correct(item, actual));
+            self.update_level(item, |level| level.correct(item, actual));
         }
     }
 
-    /// Changes the level of an item and drops the level once nothing waits.
-    fn level(&mut self, item: &Item, change: impl FnOnce(&mut Level)) {
-        let level = self.levels.get_mut(&item.level).expect("a queued item has its level");
+    /// Applies `change` to the level of an item and drops the level if it is
+    /// then empty.
+    fn update_level(&mut self, item: &Item, change: impl FnOnce(&mut Level)) {
+        let level = self.levels.get_mut(&item.level).expect("the level of a queued item exists");
         change(level);
         if level.by_start.is_empty() {
             self.levels.remove(&item.level);
@@ -152,9 +156,10 @@
 }
 
 impl Level {
-    /// With every team backlogged, a request waits for its own team's queue
-    /// and the other teams' shares meanwhile, at most for the whole level.
-    fn ahead(&self, team: &Name, weight: u32) -> u64 {
+    /// If every team is backlogged, a request waits for its own team's queue
+    /// and for the share that the other teams are served meanwhile, but never
+    /// for more than the whole level.
+    fn cost_ahead(&self, team: &Name, weight: u32) -> u64 {
         let own = self.flows.get(team);
         let own_cost = own.map_or(0, |flow| flow.cost);
         let own_queued = own.is_some_and(|flow| !flow.queue.is_empty());
@@ -163,32 +168,33 @@
         shared.min(self.cost)
     }
 
-    fn serve(&mut self, item: &Item) {
+    fn dequeue(&mut self, item: &Item) {
         let mut flow = self.detach(&item.team, item.weight);
         self.virtual_time = self.virtual_time.max(flow.start);
         self.bytes -= item.bytes;
-        flow.take(item);
-        flow.start += flow.time(item.cost);
+        flow.remove(item);
+        flow.start += flow.virtual_cost(item.cost);
         self.attach(&item.team, flow);
-        self.forget_idle();
+        self.remove_idle();
     }
 
     fn withdraw(&mut self, item: &Item) {
         let mut flow = self.detach(&item.team, item.weight);
         self.bytes -= item.bytes;
-        flow.take(item);
+        flow.remove(item);
         self.attach(&item.team, flow);
     }
 
     fn correct(&mut self, item: &Item, actual: u32) {
         let mut flow = self.detach(&item.team, item.weight);
-        let more = flow.time(actual.saturating_sub(item.cost));
-        let less = flow.time(item.cost.saturating_sub(actual));
-        flow.start = (flow.start + more).saturating_sub(less).max(self.virtual_time);
+        let increase = flow.virtual_cost(actual.saturating_sub(item.cost));
+        let decrease = flow.virtual_cost(item.cost.saturating_sub(actual));
+        flow.start = (flow.start + increase).saturating_sub(decrease).max(self.virtual_time);
         self.attach(&item.team, flow);
     }
 
-    /// Takes a team out of every index; a new team starts at the present.
+    /// Removes a team from every index; a new team starts at the current virtual
+    /// time.
     fn detach(&mut self, team: &Name, weight: u32) -> Flow {
         let Some(mut flow) = self.flows.remove(team) else {
             let start = self.virtual_time;
@@ -206,7 +212,8 @@
         flow
     }
 
-    /// Puts a team back; one that is owed nothing and owes nothing is dropped.
+    /// Puts a team back into the indexes; drops one that has nothing queued and
+    /// is not ahead of the virtual time.
     fn attach(&mut self, team: &Name, flow: Flow) {
         if !flow.queue.is_empty() {
             self.by_start.insert((flow.start, team.clone()));
@@ -221,7 +228,7 @@
         self.flows.insert(team.clone(), flow);
     }
 
-    fn forget_idle(&mut self) {
+    fn remove_idle(&mut self) {
         while self.idle.first().is_some_and(|(start, _)| *start <= self.virtual_time) {
             if let Some((_, team)) = self.idle.pop_first() {
                 self.flows.remove(&team);
@@ -231,16 +238,16 @@
 }
 
 impl Flow {
-    /// Virtual time that `cost` tokens take at the team's weight.
-    fn time(&self, cost: u32) -> u64 {
-        u64::from(cost) * TOKEN_TIME / u64::from(self.weight.max(1))
+    /// Virtual time of `cost` tokens at the team's weight.
+    fn virtual_cost(&self, cost: u32) -> u64 {
+        u64::from(cost) * VIRTUAL_TIME_PER_TOKEN / u64::from(self.weight.max(1))
     }
 
     fn finish(&self) -> u64 {
-        self.start + self.cost * TOKEN_TIME / u64::from(self.weight.max(1))
+        self.start + self.cost * VIRTUAL_TIME_PER_TOKEN / u64::from(self.weight.max(1))
     }
 
-    fn take(&mut self, item: &Item) {
+    fn remove(&mut self, item: &Item) {
         self.queue.remove(&item.ticket);
         self.cost -= u64::from(item.cost);
     }
--- a/mimosashift/src/admit/share.rs
+++ b/mimosashift/src/admit/share.rs
@@ -1,9 +1,10 @@
-//! Each router's share of a team's limits, by its part of the team's demand.
+//! Each router's share of a team's rate limits, in proportion to its share of
+//! the team's demand.
 //!
 //! Routers report their demand to each other a few times a second. A router
-//! reckons with the demand that it last reported, not with its latest, so that
-//! all routers divide the same figures and the shares add up to the limit. See
-//! `docs/design/admission.md` for the bounds.
+//! uses the demand that it last reported, not its current one, so that all
+//! routers compute shares from the same values and the shares add up to the
+//! limit. See `docs/design/admission.md` for the bounds.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -13,72 +14,72 @@
 use crate::resource::Name;
 use crate::time::Instant;
 
-/// Time between two reports to a peer.
+/// Interval between reports to a peer.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Silence after which a peer's demand no longer counts.
+/// Time without a report after which a peer's demand no longer counts.
 pub const PEER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes that a router may spend on reports to all its peers.
+/// Bandwidth that a router may use for reports to all its peers.
 pub const BYTES_PER_SECOND: usize = 9 * 1_024;
 
-/// Most bytes of an encoded entry.
+/// Maximum size of an encoded entry.
 const ENTRY_BYTES: usize = 7;
-/// Time constant of the average of demand.
+/// Time constant of the moving average of demand.
 const AVERAGE_SECONDS: f64 = 0.4;
-/// Time constant by which every router lets a reported value fade until the
-/// next report of it.
-const FADE_SECONDS: f64 = 4.0;
-/// Change, relative to the value last reported, that is worth an entry.
+/// Time constant with which every router decays a reported value until it is
+/// reported again.
+const DECAY_SECONDS: f64 = 4.0;
+/// Minimum change, relative to the value last reported, for a new entry.
 const REPORT_CHANGE: f64 = 0.1;
-/// Steps of a reported value for each doubling of demand.
+/// Quantization steps of a reported value per doubling of demand.
 const STEPS_PER_DOUBLING: f64 = 64.0;
-/// Demand below which a team is idle, in tokens a second.
+/// Demand below which a team is idle, in tokens per second.
 const IDLE_DEMAND: f64 = 0.01;
 
 /// Identifies a team in a report: a hash of its name.
 ///
-/// Two teams of the same hash only divide their limits less exactly.
+/// A hash collision only makes the shares of the two teams less accurate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TeamId([u8; 4]);
 
-/// Demand in tokens a second, in logarithmic steps of about 1%.
+/// Demand in tokens per second, in logarithmic steps of about 1%.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand(u16);
 
-/// One router's demand, as far as it changed.
+/// The changes in one router's demand.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Teams and their demand; zero means idle.
+    /// Teams and their demand; zero means that the team is idle.
     pub entries: Vec<(TeamId, Demand)>,
 }
 
-/// Demand of this router and of its peers.
+/// Demand of this router and its peers.
 #[derive(Default)]
-pub struct Share {
-    own: BTreeMap<TeamId, Own>,
-    peers: HashMap<Name, Peer>,
-    others: HashMap<TeamId, Value>,
+pub struct DemandShares {
+    own: BTreeMap<TeamId, OwnDemand>,
+    peers: HashMap<Name, PeerDemand>,
+    others: HashMap<TeamId, DecayingDemand>,
 }
 
-struct Own {
+struct OwnDemand {
     limit: f64,
     average: f64,
-    updated: Instant,
-    reported: Value,
+    updated_at: Instant,
+    last_reported: DecayingDemand,
 }
 
-struct Peer {
-    heard: Instant,
-    demand: HashMap<TeamId, Value>,
+struct PeerDemand {
+    last_report: Instant,
+    demand: HashMap<TeamId, DecayingDemand>,
 }
 
-/// A reported value that fades, in tokens a second.
+/// A reported demand that decays exponentially.
 #[derive(Clone, Copy)]
-struct Value {
-    value: f64,
-    at: Instant,
+struct DecayingDemand {
+    tokens_per_second: f64,
+    updated_at: Instant,
 }
 
-/// Most entries of a report that goes to each of `peers` routers.
+/// Maximum number of entries in a report that is sent to each of `peers` routers.
 pub const fn max_entries(peers: usize) -> usize {
     let reports = 1_000 / REPORT_INTERVAL.as_millis() as usize;
     let peers = if peers == 0 { 1 } else { peers };
@@ -86,76 +87,80 @@
     if entries == 0 { 1 } else { entries }
 }
 
-impl Share {
-    /// Notes a request of `cost` tokens, whether or not it is admitted, of a
-    /// team limited to `limit` tokens a second.
+impl DemandShares {
+    /// Records a request of `cost` tokens, admitted or not, from a team limited
+    /// to `limit` tokens per second.
     pub fn observe(&mut self, now: Instant, team: TeamId, cost: u32, limit: f64) {
-        let own = self.own.entry(team).or_insert_with(|| Own::new(now));
+        let own = self.own.entry(team).or_insert_with(|| OwnDemand::new(now));
         own.decay(now);
         own.limit = limit;
         own.average += f64::from(cost) / AVERAGE_SECONDS;
     }
 
-    /// This router's part of the team's limits, from 0 to 1.
+    /// This router's share of the team's limits, from 0 to 1.
     pub fn fraction(&self, now: Instant, team: TeamId) -> f64 {
-        let others = self.others.get(&team).map_or(0.0, |sum| sum.now(now));
+        let others = self.others.get(&team).map_or(0.0, |sum| sum.at(now));
         if others < IDLE_DEMAND {
             return 1.0;
         }
-        let own = self.own.get(&team).map_or(0.0, |own| own.counted(now));
+        let own = self.own.get(&team).map_or(0.0, |own| own.effective(now));
         own / (own + others)
     }
 
-    /// Teams for which own demand is held.
+    /// Number of teams for which this router tracks its own demand.
     pub fn active(&self) -> usize {
         self.own.len()
     }
 
-    /// The next report, the same to every peer: the largest changes, each by its team's limit, come
-    /// first, at most `entries` of them, see [`max_entries`].
+    /// Returns the next report, the same for every peer: at most `entries`
+    /// changes, see [`max_entries`], in order of their size relative to the
+    /// team's limit, largest first.
     pub fn export(&mut self, now: Instant, entries: usize) -> Report {
         let mut due: Vec<(f64, TeamId, Demand)> = Vec::new();
         for (team, own) in &mut self.own {
             own.decay(now);
-            let others = self.others.get(team).map_or(0.0, |sum| sum.now(now));
+            let others = self.others.get(team).map_or(0.0, |sum| sum.at(now));
             if let Some(change) = own.change(now) {
-                due.push((change * own.pressure(now, others), *team, Demand::from(own.average)));
+                due.push((change * own.limit_usage(now, others), *team, Demand::from(own.average)));
             }
         }
         due.sort_by(|a, b| b.0.total_cmp(&a.0));
         due.truncate(entries);
         for (_, team, demand) in &due {
             if let Some(own) = self.own.get_mut(team) {
-                own.reported = Value::new(now, *demand);
+                own.last_reported = DecayingDemand::new(now, *demand);
             }
         }
-        self.own.retain(|_, own| own.average >= IDLE_DEMAND || !own.reported.is_idle(now));
+        self.own.retain(|_, own| own.average >= IDLE_DEMAND || !own.last_reported.is_idle(now));
         Report { entries: due.into_iter().map(|(_, team, demand)| (team, demand)).collect() }
     }
 
-    /// Takes in a peer's report.
-    pub fn merge(&mut self, now: Instant, from: &Name, report: &Report) {
+    /// Merges a peer's report.
+    pub fn merge(&mut self, now: Instant, peer_name: &Name, report: &Report) {
         let peer = self
             .peers
-            .entry(from.clone())
-            .or_insert_with(|| Peer { heard: now, demand: HashMap::new() });
-        peer.heard = now;
+            .entry(peer_name.clone())
+            .or_insert_with(|| PeerDemand { last_report: now, demand: HashMap::new() });
+        peer.last_report = now;
         for (team, demand) in &report.entries {
-            let reported = Value::new(now, *demand);
+            let reported = DecayingDemand::new(now, *demand);
             let before = peer.demand.insert(*team, reported);
-            let change = reported.value - before.map_or(0.0, |before| before.now(now));
-            let sum = self.others.entry(*team).or_insert(Value { value: 0.0, at: now });
+            let change = reported.tokens_per_second - before.map_or(0.0, |before| before.at(now));
+            let sum = self
+                .others
+                .entry(*team)
+                .or_insert(DecayingDemand { tokens_per_second: 0.0, updated_at: now });
             sum.add(now, change);
         }
     }
 
-    /// Drops the demand of peers that have been silent and of idle teams.
+    /// Drops the demand of peers that stopped reporting and of idle teams.
     pub fn expire(&mut self, now: Instant) {
         let others = &mut self.others;
         self.peers.retain(|_, peer| {
-            let alive = now.since(peer.heard) < PEER_TIMEOUT;
+            let alive = now.since(peer.last_report) < PEER_TIMEOUT;
             if !alive {
-                forget(now, others, peer);
+                subtract_peer(now, others, peer);
             }
             peer.demand.retain(|_, value| !value.is_idle(now));
             alive
@@ -166,67 +171,73 @@
     /// Drops a peer that announced its shutdown.
     pub fn remove(&mut self, now: Instant, peer: &Name) {
         if let Some(peer) = self.peers.remove(peer) {
-            forget(now, &mut self.others, &peer);
+            subtract_peer(now, &mut self.others, &peer);
         }
     }
 }
 
-fn forget(now: Instant, others: &mut HashMap<TeamId, Value>, peer: &Peer) {
+fn subtract_peer(now: Instant, others: &mut HashMap<TeamId, DecayingDemand>, peer: &PeerDemand) {
     for (team, value) in &peer.demand {
         if let Some(sum) = others.get_mut(team) {
-            sum.add(now, -value.now(now));
+            sum.add(now, -value.at(now));
         }
     }
 }
 
-impl Value {
+impl DecayingDemand {
     fn new(now: Instant, demand: Demand) -> Self {
-        Self { value: demand.tokens_per_second(), at: now }
+        Self { tokens_per_second: demand.tokens_per_second(), updated_at: now }
     }
 
-    /// What is left of it.
-    fn now(&self, now: Instant) -> f64 {
-        self.value * (-now.since(self.at).as_secs_f64() / FADE_SECONDS).exp()
+    /// The demand at `now`, after decay.
+    fn at(&self, now: Instant) -> f64 {
+        self.tokens_per_second * (-now.since(self.updated_at).as_secs_f64() / DECAY_SECONDS).exp()
     }
 
     fn add(&mut self, now: Instant, value: f64) {
-        self.value = (self.now(now) + value).max(0.0);
-        self.at = now;
+        self.tokens_per_second = (self.at(now) + value).max(0.0);
+        self.updated_at = now;
     }
 
     fn is_idle(&self, now: Instant) -> bool {
-        self.now(now) < IDLE_DEMAND
+        self.at(now) < IDLE_DEMAND
     }
 }
 
-impl Own {
+impl OwnDemand {
     fn new(now: Instant) -> Self {
-        Self { limit: 0.0, average: 0.0, updated: now, reported: Value { value: 0.0, at: now } }
+        Self {
+            limit: 0.0,
+            average: 0.0,
+            updated_at: now,
+            last_reported: DecayingDemand { tokens_per_second: 0.0, updated_at: now },
+        }
     }
 
     fn decay(&mut self, now: Instant) {
-        let elapsed = now.since(self.updated).as_secs_f64();
+        let elapsed = now.since(self.updated_at).as_secs_f64();
         self.average *= (-elapsed / AVERAGE_SECONDS).exp();
-        self.updated = now;
+        self.updated_at = now;
     }
 
-    /// Demand that this router reckons with.
-    fn counted(&self, now: Instant) -> f64 {
-        let reported = self.reported.now(now);
+    /// Demand from which this router computes its share: the last report while
+    /// it is above idle, else the current average.
+    fn effective(&self, now: Instant) -> f64 {
+        let reported = self.last_reported.at(now);
         if reported < IDLE_DEMAND { self.average } else { reported }
     }
 
-    /// Weight of an entry, by the demand on all routers as a part of the limit:
+    /// Weight of an entry, from the demand on all routers relative to the limit:
     /// far below the limit, no request is refused whatever the shares are.
-    fn pressure(&self, now: Instant, others: f64) -> f64 {
-        let demand = self.average.max(self.counted(now)) + others;
+    fn limit_usage(&self, now: Instant, others: f64) -> f64 {
+        let demand = self.average.max(self.effective(now)) + others;
         (demand / self.limit).min(1.0).powi(2)
     }
 
-    /// How much an entry would tell, as a part of the team's limit, or `None`
-    /// when it would tell nothing.
+    /// Change since the last report, relative to the team's limit; `None` if it
+    /// is too small to report.
     fn change(&self, now: Instant) -> Option<f64> {
-        let reported = self.reported.now(now);
+        let reported = self.last_reported.at(now);
         let change = (self.average - reported).abs();
         let changed = change > REPORT_CHANGE * reported && change >= IDLE_DEMAND;
         changed.then_some(change / self.limit)
--- a/mimosashift/src/admit/slots.rs
+++ b/mimosashift/src/admit/slots.rs
@@ -1,16 +1,17 @@
-//! Number of requests dispatched at once, adapted to what the endpoints take.
+//! Concurrency limit that adapts to the capacity of the endpoints.
 //!
-//! While all slots are in use, the limit doubles in the time that its requests
-//! take until endpoints first refuse one for load. From then on each request
-//! without a refusal raises it by [`RISE`] and each one with a refusal lowers
-//! it by [`FALL`], so that it settles where a small share of requests meets a
-//! full endpoint, whatever the rate.
+//! Until an endpoint first refuses a request as overloaded, the limit doubles
+//! each time that a full set of requests has completed, as long as all slots
+//! are in use. From then on each request without a refusal raises it by
+//! [`LIMIT_INCREASE`] and each one with a refusal lowers it by
+//! [`LIMIT_DECREASE`], so that it settles where a small share of requests
+//! meets a full endpoint, whatever the rate.
 
-/// Slots gained by a request that met no refusal while all were in use.
-pub const RISE: f64 = 0.1;
+/// Slots added by a request that met no refusal while all slots were in use.
+pub const LIMIT_INCREASE: f64 = 0.1;
 
-/// Slots lost by a request that endpoints refused for load.
-pub const FALL: f64 = 1.0;
+/// Slots removed by a request that an endpoint refused as overloaded.
+pub const LIMIT_DECREASE: f64 = 1.0;
 
 /// The adaptive concurrency limit.
 #[derive(Clone, Debug)]
@@ -18,43 +19,44 @@
     limit: f64,
     max: f64,
     used: usize,
-    /// Whether endpoints have refused for load.
-    refused: bool,
+    /// Whether an endpoint has ever refused a request as overloaded.
+    overload_seen: bool,
 }
 
 impl Slots {
-    /// Starts at `start` slots and never exceeds `max`.
+    /// Creates a limit of initially `start` and at most `max` slots.
     pub fn new(start: usize, max: usize) -> Self {
         let max = max.max(1) as f64;
-        Self { limit: (start as f64).clamp(1.0, max), max, used: 0, refused: false }
+        Self { limit: (start as f64).clamp(1.0, max), max, used: 0, overload_seen: false }
     }
 
-    /// Requests that may be dispatched at once.
+    /// Number of requests that may run concurrently.
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
 
-    /// Requests dispatched and not yet released.
+    /// Number of requests dispatched and not yet released.
     pub const fn used(&self) -> usize {
         self.used
     }
 
-    /// Takes a slot and returns whether one was free.
-    pub fn take(&mut self) -> bool {
+    /// Acquires a slot if one is free; returns whether it did.
+    pub fn acquire(&mut self) -> bool {
         let free = self.used < self.limit();
         self.used += usize::from(free);
         free
     }
 
-    /// Gives a slot back; `overloaded` tells that endpoints refused for load.
+    /// Releases a slot; `overloaded` says whether an endpoint refused the request
+    /// as overloaded.
     pub fn release(&mut self, overloaded: bool) {
         let full = self.used >= self.limit();
-        self.used = self.used.checked_sub(1).expect("every release follows its own take");
+        self.used = self.used.checked_sub(1).expect("every release follows an acquire");
         if overloaded {
-            self.refused = true;
-            self.limit = (self.limit - FALL).max(1.0);
+            self.overload_seen = true;
+            self.limit = (self.limit - LIMIT_DECREASE).max(1.0);
         } else if full {
-            let step = if self.refused { RISE } else { 1.0 };
+            let step = if self.overload_seen { LIMIT_INCREASE } else { 1.0 };
             self.limit = (self.limit + step).min(self.max);
         }
     }
--- a/mimosashift/tests/admit.rs
+++ b/mimosashift/tests/admit.rs
@@ -1,11 +1,14 @@
-//! Admission: order, bounds and truthfulness against a naive reference, and
-//! team limits over many routers in virtual time.
+//! Admission control: queue order against a reference implementation, bounds
+//! and outcomes under random histories, and team limits over many routers in
+//! virtual time.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
 use mimosashift::admit::queue::{Item, Queue};
-use mimosashift::admit::share::{self, PEER_TIMEOUT, REPORT_INTERVAL, Report, Share, TeamId};
+use mimosashift::admit::share::{
+    self, DemandShares, PEER_TIMEOUT, REPORT_INTERVAL, Report, TeamId,
+};
 use mimosashift::admit::slots::Slots;
 use mimosashift::admit::{Action, Admission, Bounds, Refusal, Request, Ticket, Usage};
 use mimosashift::resource::{Name, Team};
@@ -29,15 +32,15 @@
     }
 }
 
-/// The queue's rule without any index: everything is searched each time.
+/// The same queueing rules without indexes: every operation is a linear search.
 #[derive(Default)]
-struct Naive {
+struct ReferenceQueue {
     items: Vec<Item>,
     /// Virtual time and each team's virtual start, per level.
     levels: BTreeMap<u8, (u64, HashMap<Name, u64>)>,
 }
 
-impl Naive {
+impl ReferenceQueue {
     fn start(&self, item: &Item) -> u64 {
         let Some((now, starts)) = self.levels.get(&item.level) else { return 0 };
         starts.get(&item.team).map_or(*now, |start| *start)
@@ -69,18 +72,18 @@
             item.team.clone(),
             start + (u64::from(item.cost) << 16) / u64::from(item.weight),
         );
-        self.drop_item(item.ticket);
+        self.remove_item(item.ticket);
         Some(item.ticket)
     }
 
     fn shed(&mut self) -> Option<Ticket> {
         let key = |i: &&Item| (i.level, self.finish(i), i.team.clone(), i.ticket);
         let ticket = self.items.iter().max_by_key(key)?.ticket;
-        self.drop_item(ticket);
+        self.remove_item(ticket);
         Some(ticket)
     }
 
-    fn drop_item(&mut self, ticket: Ticket) {
+    fn remove_item(&mut self, ticket: Ticket) {
         self.items.retain(|item| item.ticket != ticket);
         let waiting: HashSet<u8> = self.items.iter().map(|item| item.level).collect();
         self.levels.retain(|level, _| waiting.contains(level));
@@ -99,7 +102,7 @@
     }
 }
 
-/// Names each seed of a history that queue and reference must agree on.
+/// Defines a test per seed: queue and reference must agree on a random history.
 macro_rules! agrees {
     ($($case:ident: $seed:literal;)*) => {$(
         #[test]
@@ -118,27 +121,27 @@
 
 fn queue_agrees(seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let (mut queue, mut naive) = (Queue::default(), Naive::default());
+    let (mut queue, mut reference) = (Queue::default(), ReferenceQueue::default());
     for step in 0..4_000 {
-        // Phases of growth and of emptying reach both ends of every level.
+        // The queue alternately grows and shrinks, so that levels fill and empty.
         let grow = if step / 200 % 2 == 0 { 6 } else { 3 };
         match rng.random_range(0..10) {
             draw if draw < grow => {
                 let item = item(&mut rng, step);
                 queue.push(item.clone());
-                naive.push(item);
+                reference.push(item);
             }
-            9 => assert_eq!(queue.shed().map(|i| i.ticket), naive.shed(), "shed, step {step}"),
+            9 => assert_eq!(queue.shed().map(|i| i.ticket), reference.shed(), "shed, step {step}"),
             8 => {
                 let ticket = Ticket(rng.random_range(0..=step));
-                let queued = naive.items.iter().any(|item| item.ticket == ticket);
+                let queued = reference.items.iter().any(|item| item.ticket == ticket);
                 assert_eq!(queue.remove(ticket).is_some(), queued);
-                naive.drop_item(ticket);
+                reference.remove_item(ticket);
             }
-            _ => assert_eq!(queue.pop().map(|i| i.ticket), naive.pop(), "pop, step {step}"),
+            _ => assert_eq!(queue.pop().map(|i| i.ticket), reference.pop(), "pop, step {step}"),
         }
-        assert_eq!(queue.len(), naive.items.len());
-        assert_eq!(queue.bytes(), naive.items.iter().map(|item| item.bytes).sum::<usize>());
+        assert_eq!(queue.len(), reference.items.len());
+        assert_eq!(queue.bytes(), reference.items.iter().map(|item| item.bytes).sum::<usize>());
     }
 }
 
@@ -169,7 +172,7 @@
         let most = served.values().copied().fold(0.0, f64::max);
         let least =
             if served.len() < 4 { 0.0 } else { served.values().copied().fold(f64::MAX, f64::min) };
-        // The bound of start-time fair queueing: one largest request of each.
+        // Bound of start-time fair queueing: one request of maximum cost per team.
         assert!(most - least <= 2.0 * f64::from(MAX_COST), "{served:?}");
     }
 }
@@ -187,52 +190,53 @@
 
 const BOUNDS: Bounds = Bounds { queued: 40, queued_bytes: 20_000, start_slots: 8, max_slots: 16 };
 
-/// What became of each ticket, by the actions alone.
+/// The outcome of each ticket, as seen in the actions.
 #[derive(Default)]
-struct Ledger {
+struct Outcomes {
     running: Vec<Ticket>,
     dispatched: HashSet<Ticket>,
     refused: HashSet<Ticket>,
 }
 
-impl Ledger {
+impl Outcomes {
     fn take(&mut self, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
             match action {
                 Action::Dispatch(ticket) => {
                     assert!(self.dispatched.insert(ticket), "dispatched twice");
-                    assert!(!self.refused.contains(&ticket), "dispatched after not-run");
+                    assert!(!self.refused.contains(&ticket), "dispatched after a refusal");
                     self.running.push(ticket);
                 }
                 Action::Refuse { ticket, .. } => {
                     assert!(self.refused.insert(ticket), "refused twice");
-                    assert!(!self.dispatched.contains(&ticket), "not-run after dispatch");
+                    assert!(!self.dispatched.contains(&ticket), "refused after dispatch");
                 }
             }
         }
     }
 }
 
-/// Names each seed of a history in which every request has one fate.
-macro_rules! one_fate {
+/// Defines a test per seed: in a random history every request has exactly one
+/// outcome.
+macro_rules! one_outcome {
     ($($case:ident: $seed:literal;)*) => {$(
         #[test]
         fn $case() {
-            every_request_has_one_fate($seed);
+            every_request_has_one_outcome($seed);
         }
     )*};
 }
 
-one_fate! {
-    one_fate_1: 11;
-    one_fate_2: 12;
-    one_fate_3: 13;
+one_outcome! {
+    one_outcome_1: 11;
+    one_outcome_2: 12;
+    one_outcome_3: 13;
 }
 
-fn every_request_has_one_fate(seed: u64) {
+fn every_request_has_one_outcome(seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut admission = Admission::new(BOUNDS);
-    let (mut ledger, mut out, mut now) = (Ledger::default(), Vec::new(), Instant::ZERO);
+    let (mut observed, mut out, mut now) = (Outcomes::default(), Vec::new(), Instant::ZERO);
     let (mut submitted, mut cancelled) = (0, 0);
     for _ in 0..20_000 {
         now = now + Duration::from_millis(rng.random_range(0..4));
@@ -256,9 +260,9 @@
             }
             6 => admission.poll(now, &mut out),
             _ => {
-                if !ledger.running.is_empty() {
-                    let at = rng.random_range(0..ledger.running.len());
-                    let ticket = ledger.running.swap_remove(at);
+                if !observed.running.is_empty() {
+                    let at = rng.random_range(0..observed.running.len());
+                    let ticket = observed.running.swap_remove(at);
                     let usage = Usage {
                         tokens: rng.random_range(0..300),
                         overloaded: rng.random_bool(0.02),
@@ -267,15 +271,15 @@
                 }
             }
         }
-        ledger.take(&mut out);
+        observed.take(&mut out);
         assert!(admission.queue().len() <= BOUNDS.queued);
         assert!(admission.queue().bytes() <= BOUNDS.queued_bytes);
-        assert_eq!(admission.slots().used(), ledger.running.len());
+        assert_eq!(admission.slots().used(), observed.running.len());
     }
     let queued = admission.queue().len();
-    let fates = ledger.dispatched.len() + ledger.refused.len() + cancelled + queued;
-    assert_eq!(fates as u64, submitted, "a request without a fate");
-    assert!(!ledger.refused.is_empty() && cancelled > 0 && ledger.dispatched.len() > 1_000);
+    let outcomes = observed.dispatched.len() + observed.refused.len() + cancelled + queued;
+    assert_eq!(outcomes as u64, submitted, "a request without an outcome");
+    assert!(!observed.refused.is_empty() && cancelled > 0 && observed.dispatched.len() > 1_000);
 }
 
 fn request<'a>(name: &'a Name, team: &'a Team, level: u8, deadline_ms: u64) -> Request<'a> {
@@ -299,12 +303,12 @@
 }
 
 #[test]
-fn lowest_priority_of_the_greediest_team_is_shed_first() {
+fn lowest_priority_of_the_most_backlogged_team_is_shed_first() {
     let bounds = Bounds { queued: 3, queued_bytes: 10_000, start_slots: 1, max_slots: 1 };
     let (mut admission, mut out) = (Admission::new(bounds), Vec::new());
     let (a, b, team) = (name("a"), name("b"), team(1, 0, 0));
-    for (who, level) in [(&a, 0), (&a, 2), (&b, 2), (&b, 2), (&a, 0)] {
-        admission.submit(Instant::ZERO, &request(who, &team, level, 100_000), &mut out);
+    for (team_name, level) in [(&a, 0), (&a, 2), (&b, 2), (&b, 2), (&a, 0)] {
+        admission.submit(Instant::ZERO, &request(team_name, &team, level, 100_000), &mut out);
     }
     assert_eq!(refusals(&out), [(3, Refusal::Shed)]);
     out.clear();
@@ -313,7 +317,7 @@
 }
 
 #[test]
-fn request_that_cannot_be_in_time_is_refused_at_once() {
+fn request_that_cannot_meet_its_deadline_is_refused_immediately() {
     let bounds = Bounds { queued: 99, queued_bytes: 10_000, start_slots: 1, max_slots: 1 };
     let (mut admission, mut out) = (Admission::new(bounds), Vec::new());
     let (a, team) = (name("a"), team(1, 0, 0));
@@ -326,7 +330,7 @@
     for _ in 0..4 {
         admission.submit(now, &request(&a, &team, 0, 1_000), &mut out);
     }
-    assert!(refusals(&out).is_empty(), "three queued at 100 ms each are in time");
+    assert!(refusals(&out).is_empty(), "three queued requests of 100 ms each meet their deadlines");
     admission.submit(now, &request(&a, &team, 0, 450), &mut out);
     let late = out.pop().unwrap();
     let Action::Refuse { refusal: Refusal::Late, retry_after, .. } = late else {
@@ -349,16 +353,16 @@
     assert_eq!(out.len(), 1);
 }
 
-/// A team that may run 1,000 tokens a second, on a router with one slot.
+/// A team limited to 1,000 tokens per second, on a router with one slot.
 fn limited() -> (Admission, Name, Team) {
     let bounds = Bounds { queued: 2, queued_bytes: 10_000, start_slots: 1, max_slots: 1 };
     (Admission::new(bounds), name("a"), team(1, 0, 1_000))
 }
 
-/// Whether a request is refused by the team's limit.
-fn over_limit(admission: &mut Admission, now: Instant, who: &Name, team: &Team) -> bool {
+/// Submits a request; returns whether it is refused as over the team's limit.
+fn over_limit(admission: &mut Admission, now: Instant, team_name: &Name, team: &Team) -> bool {
     let mut out = Vec::new();
-    let ticket = admission.submit(now, &request(who, team, 0, 100_000), &mut out);
+    let ticket = admission.submit(now, &request(team_name, team, 0, 100_000), &mut out);
     refusals(&out).contains(&(ticket.0, Refusal::OverLimit))
 }
 
@@ -376,7 +380,7 @@
 }
 
 #[test]
-fn tokens_are_charged_as_used_in_the_end() {
+fn tokens_are_charged_by_actual_usage() {
     let (mut admission, a, team) = limited();
     let usage = |tokens| Usage { tokens, overloaded: false };
     assert!(!over_limit(&mut admission, Instant::ZERO, &a, &team));
@@ -391,12 +395,12 @@
 #[test]
 fn slots_shrink_on_overload_and_grow_when_full() {
     let mut slots = Slots::new(10, 20);
-    while slots.take() {}
+    while slots.acquire() {}
     slots.release(true);
     slots.release(true);
     assert_eq!(slots.limit(), 8);
     for _ in 0..200 {
-        while slots.take() {}
+        while slots.acquire() {}
         slots.release(false);
     }
     assert_eq!(slots.limit(), 20);
@@ -409,28 +413,28 @@
 fn slots_settle_by_the_share_of_refusals(one_in: usize, settled: usize) {
     let mut slots = Slots::new(50, 100);
     for request in 1..5_000 {
-        while slots.take() {}
+        while slots.acquire() {}
         slots.release(request % one_in == 0);
     }
     assert_eq!(slots.limit(), settled);
 }
 
-/// Routers that exchange demand reports, and a balancer in front of them.
+/// Routers that exchange demand reports, behind a load balancer.
 struct Cluster {
     rng: Pcg64Mcg,
     now: Instant,
     routers: Vec<Admission>,
     names: Vec<Name>,
     in_flight: Vec<(Instant, usize, Report)>,
-    /// Reports between routers of different parts are lost.
-    parts: usize,
+    /// Number of partitions; reports between them are lost.
+    partitions: usize,
     team: Team,
-    /// The limit, in requests a second.
+    /// The limit, in requests per second.
     limit: u32,
-    who: Name,
-    /// Other teams that ask for one request a second each, far below their
-    /// limits, and compete for room in the reports.
-    crowd: Vec<Name>,
+    team_name: Name,
+    /// Other teams that send one request per second each, far below their
+    /// limits, and compete for entries in the reports.
+    other_teams: Vec<Name>,
 }
 
 const COST: u32 = 50;
@@ -447,16 +451,16 @@
             routers: (0..routers).map(|_| Admission::new(bounds)).collect(),
             names: (0..routers).map(|i| name(&format!("r{i}"))).collect(),
             in_flight: Vec::new(),
-            parts: 1,
+            partitions: 1,
             team: team(1, 0, limit * COST),
             limit,
-            who: name("counter"),
-            crowd: Vec::new(),
+            team_name: name("counter"),
+            other_teams: Vec::new(),
         }
     }
 
-    /// Offers twice the limit, balanced by `weights`, and returns the part of
-    /// the limit that was admitted.
+    /// Offers twice the limit, distributed by `weights`, and returns the admitted
+    /// rate relative to the limit.
     fn run(&mut self, time: Duration, weights: &[f64]) -> f64 {
         let (end, total) = (self.now + time, weights.iter().sum::<f64>());
         let chance = 2.0 * f64::from(self.limit) * STEP.as_secs_f64();
@@ -464,10 +468,11 @@
         while self.now < end {
             self.now = self.now + STEP;
             self.exchange();
-            if self.rng.random_bool(self.crowd.len() as f64 * STEP.as_secs_f64()) {
-                let who = self.crowd[self.rng.random_range(0..self.crowd.len())].clone();
+            if self.rng.random_bool(self.other_teams.len() as f64 * STEP.as_secs_f64()) {
+                let team_name =
+                    self.other_teams[self.rng.random_range(0..self.other_teams.len())].clone();
                 let at = self.rng.random_range(0..self.routers.len());
-                self.submit(at, &who);
+                self.submit(at, &team_name);
             }
             if self.rng.random_bool(chance) {
                 let mut draw = self.rng.random_range(0.0..total);
@@ -475,16 +480,16 @@
                     draw -= weight;
                     draw < 0.0
                 });
-                admitted += u32::from(self.submit(at.unwrap_or(0), &self.who.clone()));
+                admitted += u32::from(self.submit(at.unwrap_or(0), &self.team_name.clone()));
             }
         }
         f64::from(admitted) / (f64::from(self.limit) * time.as_secs_f64())
     }
 
-    fn submit(&mut self, at: usize, who: &Name) -> bool {
+    fn submit(&mut self, at: usize, team_name: &Name) -> bool {
         let mut out = Vec::new();
         let request = Request {
-            name: who,
+            name: team_name,
             team: &self.team,
             level: 0,
             cost: COST,
@@ -505,7 +510,7 @@
         let micros = self.now.as_micros();
         let interval = REPORT_INTERVAL.as_micros() as u64;
         for at in 0..self.routers.len() {
-            // Routers report at different moments of the interval.
+            // Each router reports at its own phase of the interval.
             let phase = at as u64 * 7_500 % interval;
             if micros / 500 % (interval / 500) == phase / 500 {
                 let peers = self.routers.len() - 1;
@@ -517,7 +522,7 @@
         let due: Vec<_> = self.in_flight.extract_if(.., |sent| sent.0 <= now).collect();
         for (_, from, report) in due {
             for to in 0..self.routers.len() {
-                if to != from && to % self.parts == from % self.parts {
+                if to != from && to % self.partitions == from % self.partitions {
                     let peer = &self.names[from];
                     self.routers[to].merge(now, peer, &report);
                 }
@@ -526,63 +531,66 @@
     }
 }
 
-const SETTLE: Duration = Duration::from_secs(2);
-const WINDOW: Duration = Duration::from_secs(5);
+const SETTLING_TIME: Duration = Duration::from_secs(2);
+const MEASURING_TIME: Duration = Duration::from_secs(5);
 
 fn within_5_percent(admitted: f64, what: &str) {
     eprintln!("{what}: {:+.2}% of the limit", (admitted - 1.0) * 100.0);
     assert!((admitted - 1.0).abs() <= 0.05, "{what}: {admitted}");
 }
 
-/// Names each number of routers, limit in requests a second, number of other
-/// teams and seed over which the limit must hold.
+/// Defines a test per number of routers, limit in requests per second, number
+/// of other teams and seed: the limit must hold over all routers. `in_a_crowd`
+/// in a name means 1,000 other teams.
 macro_rules! limits {
-    ($($case:ident: $routers:literal $limit:literal $crowd:literal $seed:literal;)*) => {$(
+    ($($case:ident: $routers:literal $limit:literal $other_teams:literal $seed:literal;)*) => {$(
         #[test]
         fn $case() {
-            limit_holds($routers, $limit, $crowd, $seed);
+            limit_holds($routers, $limit, $other_teams, $seed);
         }
     )*};
 }
 
 limits! {
     limit_holds_over_4_routers: 4 400 0 21;
-    limit_holds_over_4_routers_again: 4 400 0 22;
-    limit_holds_over_4_routers_in_a_crowd: 4 400 1_000 25;
+    limit_holds_over_4_routers_with_another_seed: 4 400 0 22;
+    limit_holds_over_4_routers_with_1000_other_teams: 4 400 1_000 25;
     limit_holds_over_40_routers: 40 400 0 23;
-    limit_holds_over_40_routers_again: 40 400 0 24;
-    limit_holds_over_40_routers_in_a_crowd: 40 400 1_000 26;
+    limit_holds_over_40_routers_with_another_seed: 40 400 0 24;
+    limit_holds_over_40_routers_with_1000_other_teams: 40 400 1_000 26;
     small_limit_holds_over_4_routers: 4 10 0 27;
-    small_limit_holds_over_4_routers_in_a_crowd: 4 10 1_000 28;
+    small_limit_holds_over_4_routers_with_1000_other_teams: 4 10 1_000 28;
     small_limit_holds_over_40_routers: 40 10 0 29;
     small_limit_holds_over_40_routers_in_a_crowd: 40 10 1_000 30;
 }
 
-fn limit_holds(routers: usize, limit: u32, crowd: usize, seed: u64) {
+fn limit_holds(routers: usize, limit: u32, other_teams: usize, seed: u64) {
     let mut cluster = Cluster::new(seed, routers, limit);
-    cluster.crowd = (0..crowd).map(|i| name(&format!("t{i}"))).collect();
+    cluster.other_teams = (0..other_teams).map(|i| name(&format!("t{i}"))).collect();
     let skewed: Vec<f64> = (0..routers).map(|i| 0.85_f64.powi(i as i32)).collect();
-    let turned: Vec<f64> = skewed.iter().rev().copied().collect();
+    let reversed: Vec<f64> = skewed.iter().rev().copied().collect();
     let mut only_one = vec![0.0; routers];
     only_one[routers / 2] = 1.0;
     for (weights, what) in
-        [(skewed, "skewed"), (turned, "turned round"), (only_one, "one router only")]
+        [(skewed, "skewed"), (reversed, "reversed"), (only_one, "one router only")]
     {
-        let shifting = cluster.run(SETTLE, &weights);
+        let settling = cluster.run(SETTLING_TIME, &weights);
         eprintln!(
-            "{what}, {limit} requests/s, {routers} routers, {crowd} others, first 2 s: {:+.2}%",
-            (shifting - 1.0) * 100.0
+            "{what}, {limit} requests/s, {routers} routers, {other_teams} others, first 2 s: {:+.2}%",
+            (settling - 1.0) * 100.0
         );
-        // Small limits need longer windows, in which one request weighs little.
+        // Small limits need longer windows to make the weight of one request small.
         let window = Duration::from_secs(if limit < 100 { 12 } else { 1 });
         let windows: Vec<_> = (0..5).map(|_| cluster.run(window, &weights)).collect();
         eprintln!(
-            "{what}, {limit} requests/s, {routers} routers, {crowd} others, windows: {windows:.3?}"
+            "{what}, {limit} requests/s, {routers} routers, {other_teams} others, windows: {windows:.3?}"
         );
         let steady = windows.iter().sum::<f64>() / windows.len() as f64;
         within_5_percent(
             steady,
-            &format!("{what}, {limit} requests/s, {routers} routers, {crowd} others, settled"),
+            &format!(
+                "{what}, {limit} requests/s, {routers} routers, {other_teams} others, settled"
+            ),
         );
     }
 }
@@ -591,22 +599,22 @@
 fn each_part_of_a_partition_serves_at_most_the_limit() {
     let mut cluster = Cluster::new(31, 12, 400);
     let even = [1.0; 12];
-    cluster.run(SETTLE, &even);
-    cluster.parts = 3;
-    cluster.run(SETTLE, &even);
-    let parted = cluster.run(WINDOW, &even);
-    eprintln!("3 parts: {parted:.2} of the limit");
-    // Demand is twice the limit, so that three parts take all of it.
-    assert!(parted > 1.5 && parted <= 3.0 * 1.05, "{parted}");
-    cluster.parts = 1;
-    cluster.run(SETTLE, &even);
-    within_5_percent(cluster.run(WINDOW, &even), "healed");
+    cluster.run(SETTLING_TIME, &even);
+    cluster.partitions = 3;
+    cluster.run(SETTLING_TIME, &even);
+    let partitioned = cluster.run(MEASURING_TIME, &even);
+    eprintln!("3 partitions: {partitioned:.2} of the limit");
+    // Demand is twice the limit, so three partitions can admit all of it.
+    assert!(partitioned > 1.5 && partitioned <= 3.0 * 1.05, "{partitioned}");
+    cluster.partitions = 1;
+    cluster.run(SETTLING_TIME, &even);
+    within_5_percent(cluster.run(MEASURING_TIME, &even), "healed");
 }
 
 #[test]
-fn silent_peer_no_longer_counts() {
-    let (mut share, peer, team) = (Share::default(), name("r2"), TeamId::from(&name("a")));
-    let mut other = Share::default();
+fn demand_of_silent_peer_expires() {
+    let (mut share, peer, team) = (DemandShares::default(), name("r2"), TeamId::from(&name("a")));
+    let mut other = DemandShares::default();
     other.observe(Instant::ZERO, team, 100, 1e3);
     share.observe(Instant::ZERO, team, 100, 1e3);
     share.merge(Instant::ZERO, &peer, &other.export(Instant::ZERO, 9));
@@ -617,8 +625,8 @@
 }
 
 #[test]
-fn idle_teams_are_forgotten() {
-    let mut share = Share::default();
+fn state_of_idle_teams_is_dropped() {
+    let mut share = DemandShares::default();
     let mut now = Instant::ZERO;
     for at in 0..31_000 {
         now = now + Duration::from_millis(1);
@@ -634,27 +642,27 @@
     assert_eq!(share.active(), 0);
 }
 
-/// Names each number of peers to which reports must leave room for heartbeats
-/// and configuration.
-macro_rules! leaves_room {
+/// Defines a test per number of peers: reports to them must leave bandwidth for
+/// heartbeats and configuration.
+macro_rules! fits_bandwidth {
     ($($case:ident: $peers:literal;)*) => {$(
         #[test]
         fn $case() {
-            report_leaves_room($peers);
+            report_fits_bandwidth($peers);
         }
     )*};
 }
 
-leaves_room! {
-    report_leaves_room_with_3_peers: 3;
-    report_leaves_room_with_39_peers: 39;
-    report_leaves_room_with_369_peers: 369;
+fits_bandwidth! {
+    report_fits_bandwidth_with_3_peers: 3;
+    report_fits_bandwidth_with_39_peers: 39;
+    report_fits_bandwidth_with_369_peers: 369;
 }
 
-fn report_leaves_room(peers: usize) {
+fn report_fits_bandwidth(peers: usize) {
     const BUDGET_BYTES_PER_SECOND: usize = 16 * 1024;
     let mut rng = Pcg64Mcg::seed_from_u64(41);
-    let mut share = Share::default();
+    let mut share = DemandShares::default();
     let (mut now, mut bytes) = (Instant::ZERO, 0);
     let seconds = 10;
     let reports = seconds * 1_000 / REPORT_INTERVAL.as_millis() as usize;
@@ -667,6 +675,6 @@
         let report = share.export(now, share::max_entries(peers));
         bytes += postcard::to_stdvec(&report).unwrap().len() * peers;
     }
-    eprintln!("1,000 active teams, {peers} peers: {} bytes a second", bytes / seconds);
+    eprintln!("1,000 active teams, {peers} peers: {} bytes per second", bytes / seconds);
     assert!(bytes / seconds < BUDGET_BYTES_PER_SECOND * 3 / 4, "{bytes}");
 }
