--- a/mimosashift/tests/route.rs
+++ b/mimosashift/tests/route.rs
@@ -486,14 +486,17 @@
 }
 
 fn conditions() -> impl Strategy<Value = Condition> {
-    let availability = prop_oneof![
+    let level = prop_oneof![
         Just(Availability::Live),
         Just(Availability::Slow),
         Just(Availability::Unreachable),
         Just(Availability::Leaving)
     ];
-    (availability, 0..60_u32, any::<bool>()).prop_map(|(availability, sequences, overloaded)| {
-        Condition { availability, sequences, overloaded, ..Condition::IDLE }
+    (level, 0..60_u32, any::<bool>()).prop_map(|(availability, sequences, overloaded)| Condition {
+        availability,
+        sequences,
+        overloaded,
+        ..Condition::IDLE
     })
 }
 
