--- a/mimosashift/src/health/factor.rs
+++ b/mimosashift/src/health/factor.rs
@@ -1,46 +1,47 @@
-//! Moving average of how much slower an endpoint is than declared.
+//! Moving average of an endpoint's observed time relative to its declared time.
 
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// Weight of the newest observation.
+/// Weight of the most recent observation.
 const NEWEST_WEIGHT: f32 = 0.3;
 
-/// Time after which half of an unconfirmed deviation is forgotten.
+/// Time in which a deviation decays by half without new observations.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Range of accepted observations, so that one absurd value cannot stay.
-const RANGE: (f32, f32) = (0.05, 10_000.0);
+/// Range to which observations are clamped, so that one extreme value does not
+/// dominate the average.
+const OBSERVATION_RANGE: (f32, f32) = (0.05, 10_000.0);
 
-/// Observed time over declared time; returns to 1 without observations, so
-/// that an endpoint avoided for slowness is tried again.
+/// Observed time divided by declared time. It returns to 1 without
+/// observations, so that an endpoint avoided for slowness is tried again.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Factor {
+pub(super) struct SlownessFactor {
     average: f32,
-    at: Instant,
+    updated_at: Instant,
 }
 
-impl Factor {
+impl SlownessFactor {
     pub(super) fn observe(&mut self, ratio: f32, now: Instant) {
-        let ratio = ratio.clamp(RANGE.0, RANGE.1);
-        let current = self.at(now);
+        let ratio = ratio.clamp(OBSERVATION_RANGE.0, OBSERVATION_RANGE.1);
+        let current = self.value(now);
         self.average = current + (ratio - current) * NEWEST_WEIGHT;
-        self.at = now;
+        self.updated_at = now;
     }
 
-    pub(super) fn at(&self, now: Instant) -> f32 {
+    pub(super) fn value(&self, now: Instant) -> f32 {
         let deviation = self.average - 1.0;
         if deviation == 0.0 {
             return 1.0;
         }
-        let age = now.since(self.at).as_secs_f32() / HALF_LIFE.as_secs_f32();
+        let age = now.since(self.updated_at).as_secs_f32() / HALF_LIFE.as_secs_f32();
         1.0 + deviation * (-age).exp2()
     }
 }
 
-impl Default for Factor {
+impl Default for SlownessFactor {
     fn default() -> Self {
-        Self { average: 1.0, at: Instant::ZERO }
+        Self { average: 1.0, updated_at: Instant::ZERO }
     }
 }
--- a/mimosashift/src/health/leaving.rs
+++ b/mimosashift/src/health/leaving.rs
@@ -1,70 +1,71 @@
-//! LeavingState that an endpoint is shutting down; they merge in any order.
+//! Whether an endpoint is shutting down, merged from several sources in any
+//! order.
 
 use serde::{Deserialize, Serialize};
 
-/// What is known about an endpoint leaving, from all sources.
+/// Whether an endpoint is leaving, according to the VM list and the endpoint.
 ///
-/// Both parts only ever rise, so routers that exchange them agree in the end
-/// whatever the order of the messages.
+/// Both parts only ever increase in their ordering, so routers that exchange
+/// them converge whatever the order of the messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingState {
-    listed: Listed,
-    own: Own,
+    vm_list: VmListStatement,
+    endpoint: EndpointStatement,
 }
 
-/// The newest statement of the VM list.
+/// The newest entry of the VM list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-struct Listed {
+struct VmListStatement {
     generation: u64,
     leaving: bool,
-    /// Incarnation that the statement was made about.
+    /// Newest incarnation known when the entry was received.
     incarnation: u64,
 }
 
-/// The newest statement of the endpoint itself; incarnation 0 stands for none.
+/// The newest state reported by the endpoint; incarnation 0 means none yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-struct Own {
+struct EndpointStatement {
     incarnation: u64,
     leaving: bool,
 }
 
 impl LeavingState {
-    /// Takes in a statement of the VM list.
-    pub(super) fn list(&mut self, generation: u64, leaving: bool) {
-        let incarnation = self.own.incarnation;
-        self.listed = self.listed.max(Listed { generation, leaving, incarnation });
+    /// Applies an entry of the VM list.
+    pub(super) fn apply_vm_list(&mut self, generation: u64, leaving: bool) {
+        let incarnation = self.endpoint.incarnation;
+        self.vm_list = self.vm_list.max(VmListStatement { generation, leaving, incarnation });
     }
 
-    /// Takes in a statement of the endpoint at `incarnation`.
-    pub(super) fn report(&mut self, incarnation: u64, leaving: bool) {
-        self.own = self.own.max(Own { incarnation, leaving });
+    /// Applies a state reported by the endpoint at `incarnation`.
+    pub(super) fn apply_report(&mut self, incarnation: u64, leaving: bool) {
+        self.endpoint = self.endpoint.max(EndpointStatement { incarnation, leaving });
     }
 
-    /// Takes in a refusal of the present incarnation; false when that is not
-    /// known.
-    pub(super) fn refuse(&mut self) -> bool {
-        let known = self.own.incarnation > 0;
-        self.own.leaving |= known;
+    /// Records a refusal by the current incarnation; false if that is unknown.
+    pub(super) fn record_refusal(&mut self) -> bool {
+        let known = self.endpoint.incarnation > 0;
+        self.endpoint.leaving |= known;
         known
     }
 
     pub(super) fn merge(&mut self, other: &Self) {
-        self.listed = self.listed.max(other.listed);
-        self.own = self.own.max(other.own);
+        self.vm_list = self.vm_list.max(other.vm_list);
+        self.endpoint = self.endpoint.max(other.endpoint);
     }
 
     /// Whether the endpoint is shutting down.
     pub fn is_leaving(&self) -> bool {
-        let listed = self.listed.leaving && self.listed.incarnation >= self.own.incarnation;
-        listed || self.own.leaving
+        let listed_as_leaving =
+            self.vm_list.leaving && self.vm_list.incarnation >= self.endpoint.incarnation;
+        listed_as_leaving || self.endpoint.leaving
     }
 
-    /// Generation of the newest VM list taken in.
+    /// Generation of the newest VM list applied.
     pub(super) const fn generation(&self) -> u64 {
-        self.listed.generation
+        self.vm_list.generation
     }
 
     pub(super) const fn incarnation(&self) -> u64 {
-        self.own.incarnation
+        self.endpoint.incarnation
     }
 }
--- a/mimosashift/src/health/mod.rs
+++ b/mimosashift/src/health/mod.rs
@@ -1,7 +1,7 @@
-//! What this router knows about the state of each endpoint.
+//! Health and load of each endpoint, as known to this router.
 //!
 //! `docs/design/health.md` gives the rules and the reasons for them. All
-//! instants of this module count from the Unix epoch, because load reports are
+//! instants in this module count from the Unix epoch, because load reports are
 //! compared between routers.
 
 use std::time::Duration;
@@ -22,17 +22,17 @@
 pub use registry::{Exchange, Registry};
 pub use report::{Error, Report, ReportBatch};
 
-/// Rules for ejection and return.
+/// Parameters of ejection and return.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Failures in a row that eject an endpoint as unreachable.
+    /// Consecutive failures after which an endpoint is ejected as unreachable.
     pub consecutive_failures: u8,
-    /// First ejection time; it doubles with each further ejection.
+    /// Duration of the first ejection; it doubles with each further one.
     pub base_ejection: Duration,
-    /// Longest ejection time, before jitter.
+    /// Longest duration of an ejection, before jitter.
     pub max_ejection: Duration,
-    /// Largest share of an endpoint group that may be ejected for slowness,
-    /// 0 to 1. Unreachable endpoints count towards it.
+    /// Largest fraction of an endpoint group that may be ejected for slowness, 0
+    /// to 1. Unreachable endpoints count towards it.
     pub max_ejected_share: f64,
     /// An endpoint this many times slower than its group's median is an outlier.
     pub outlier_ratio: f32,
@@ -40,43 +40,45 @@
     pub outlier_samples: u32,
     /// Time over which a returning endpoint regains its full weight.
     pub ramp: Duration,
-    /// Time after which an endpoint without a new ejection starts over at the
-    /// first ejection time.
-    pub forgive: Duration,
-    /// Time without new work after an endpoint answers that it is overloaded.
+    /// Time without a new ejection after which the ejection time is reset to
+    /// `base_ejection`.
+    pub backoff_reset: Duration,
+    /// Time for which an endpoint gets no new work after it answered that it is
+    /// overloaded.
     pub overload_pause: Duration,
-    /// Largest lead of another router's clock at which its reports are used.
+    /// Largest lead of another router's clock for which its reports are accepted.
     pub max_clock_skew: Duration,
 }
 
-/// How far an endpoint may be used; a later value is worse.
+/// Whether an endpoint may be used; later variants are worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Availability {
-    /// It takes work.
+    /// It accepts work.
     Live,
-    /// It is ejected as a slow outlier: used only without a live alternative.
+    /// It is ejected as a slow outlier: used only if no live alternative exists.
     Slow,
-    /// It is ejected after failures: used only without any alternative.
+    /// It is ejected after failures: used only if there is no alternative.
     Unreachable,
-    /// It is shutting down: never given new work.
+    /// It is shutting down and never gets new work.
     Leaving,
 }
 
-/// State of one endpoint at one moment, for the choice of a chain.
+/// Snapshot of one endpoint's state, for the selection of a chain.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Condition {
-    /// How far it may be used.
+    /// Whether it may be used.
     pub availability: Availability,
-    /// Sequences running or waiting, with this router's work since the report.
+    /// Number of running and queued sequences, including work started since the
+    /// last report.
     pub sequences: u32,
-    /// Observed service time over declared service time.
+    /// Observed service time divided by declared service time.
     pub service_factor: f32,
-    /// Observed link time over declared link time.
+    /// Observed link time divided by declared link time.
     pub link_factor: f32,
-    /// Share of its usual work that it takes, above 0 and up to 1; below 1
+    /// Fraction of its normal work that it gets, above 0 and up to 1; below 1
     /// while it returns from ejection.
     pub weight: f32,
-    /// Whether it answered moments ago that it is overloaded.
+    /// Whether it answered within the overload pause that it is overloaded.
     pub overloaded: bool,
 }
 
@@ -87,7 +89,7 @@
 }
 
 impl Condition {
-    /// A live endpoint without work, as declared.
+    /// A live endpoint without work, as fast as declared.
     pub const IDLE: Self = Self {
         availability: Availability::Live,
         sequences: 0,
@@ -108,7 +110,7 @@
             outlier_ratio: 8.0,
             outlier_samples: 5,
             ramp: Duration::from_secs(30),
-            forgive: Duration::from_secs(300),
+            backoff_reset: Duration::from_secs(300),
             overload_pause: Duration::from_millis(500),
             max_clock_skew: Duration::from_secs(5),
         }
--- a/mimosashift/src/health/model.rs
+++ b/mimosashift/src/health/model.rs
@@ -1,28 +1,30 @@
-//! The time model that observation and prediction share.
+//! The model of service and link times.
 //!
-//! The same formulas normalise observed times and predict later ones, so that
-//! an error in them cancels out for work of the same shape.
+//! The same formulas normalise observed times and predict future ones, so that
+//! errors in the model cancel out for work of the same shape.
 
-/// Cost of a further prompt token, relative to a decode step of one token.
+/// Cost of each additional prompt token, relative to a decode step of one token.
 const PROMPT_TOKEN_SHARE: f32 = 0.05;
 
-/// Cost of a further sequence in the batch, relative to the first.
+/// Cost of each additional sequence in a batch, relative to the first.
 const BATCH_SEQUENCE_SHARE: f32 = 0.02;
 
-/// Shortest link time of an exchange that is told from noise, in microseconds.
+/// Minimum link time of a round trip, in microseconds; shorter times cannot be
+/// distinguished from noise.
 const MIN_LINK_US: f32 = 200.0;
 
-/// Cost of a step of `tokens` tokens in units of a one-token step.
+/// Cost of a step of `tokens` tokens relative to a step of one token.
 pub fn step_weight(tokens: f32) -> f32 {
     1.0 + (tokens - 1.0).max(0.0) * PROMPT_TOKEN_SHARE
 }
 
-/// Slowdown of an iteration that batches `sequences` sequences.
+/// Cost of an iteration over a batch of `sequences` sequences, relative to one
+/// sequence.
 pub fn batch_weight(sequences: u32) -> f32 {
     1.0 + sequences.saturating_sub(1) as f32 * BATCH_SEQUENCE_SHARE
 }
 
-/// Link time of one exchange in microseconds: there and back, `bytes` in all.
+/// Link time of a round trip in microseconds; `bytes` counts both directions.
 pub fn link_us(one_way_us: f32, bytes: f32, bytes_per_second: f32) -> f32 {
     (2.0 * one_way_us + bytes / bytes_per_second * 1e6).max(MIN_LINK_US)
 }
--- a/mimosashift/src/health/probe.rs
+++ b/mimosashift/src/health/probe.rs
@@ -2,7 +2,7 @@
 
 use crate::resource::Name;
 
-/// One live router.
+/// A live router.
 #[derive(Clone, Copy, Debug)]
 pub struct Router<'a> {
     /// Its name, unique among routers.
@@ -13,16 +13,16 @@
 
 /// The router of `routers` that polls `endpoint` in `domain`.
 ///
-/// Routers of the endpoint's own failure domain share its endpoints by
-/// rendezvous hash; without one, all routers share them. A router that joins
-/// or goes therefore moves only its own part.
+/// Rendezvous hashing assigns the endpoints of a failure domain to the routers
+/// in that domain, or to all routers if it has none. A router that joins or
+/// leaves therefore only changes the assignment of its own endpoints.
 pub fn poller<'a>(endpoint: &Name, domain: &Name, routers: &[Router<'a>]) -> Option<Router<'a>> {
     let score = |router: &Router<'_>| hash(router.name, endpoint.as_str());
     let local = routers.iter().filter(|router| router.domain == domain).max_by_key(|r| score(r));
     local.or_else(|| routers.iter().max_by_key(|r| score(r))).copied()
 }
 
-/// FNV-1a over both texts with a final mix; equal on every router.
+/// FNV-1a over both names with a final mixing step; the same on every router.
 fn hash(router: &str, endpoint: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/mimosashift/src/health/registry.rs
+++ b/mimosashift/src/health/registry.rs
@@ -1,5 +1,4 @@
-//! The state of all endpoints: commands that take in what was observed, and
-//! queries apart from them.
+//! The state of all endpoints: commands that record observations, and queries.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,7 +6,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-use super::state::{Declared, State};
+use super::state::{DeclaredSpeed, State};
 use super::{Availability, Condition, Error, HealthView, Report, ReportBatch, Settings};
 use crate::engine::{Failure, Load};
 use crate::resource::{Endpoint, Name, Role, Snapshot};
@@ -19,40 +18,40 @@
 pub struct Exchange {
     /// Number of layers run; 0 for a probe, which observes only the link.
     pub layers: u16,
-    /// Tokens in the step.
+    /// Number of tokens in the step.
     pub tokens: u32,
-    /// Bytes of request and answer.
+    /// Total size of the request and the response, in bytes.
     pub bytes: u64,
-    /// Time from sending to the whole answer.
+    /// Time from sending the request to receiving the complete response.
     pub total: Duration,
-    /// Time that the engine says it took, without the link.
+    /// Processing time reported by the engine, excluding the link.
     pub service: Option<Duration>,
 }
 
-/// State of all configured endpoints as one router sees it.
+/// State of all configured endpoints as known to one router.
 #[derive(Debug)]
 pub struct Registry {
     settings: Settings,
-    routers: u32,
+    router_count: u32,
     states: HashMap<Name, State>,
 }
 
 /// Commands.
 impl Registry {
-    /// An empty registry.
+    /// Creates an empty registry.
     pub fn new(settings: Settings) -> Self {
-        Self { settings, routers: 1, states: HashMap::new() }
+        Self { settings, router_count: 1, states: HashMap::new() }
     }
 
-    /// Follows a configuration: new endpoints start live, removed ones are
-    /// forgotten, the others keep their state.
+    /// Applies a configuration: new endpoints start live, the state of removed
+    /// ones is dropped, the others keep their state.
     pub fn install(&mut self, snapshot: &Snapshot, distances: &Distances) {
         let mut groups = HashMap::new();
         let mut old = std::mem::take(&mut self.states);
         for (name, endpoint) in snapshot.endpoints() {
             let next = groups.len() as u32;
             let group = *groups.entry(group_key(endpoint)).or_insert(next);
-            let declared = declare(endpoint, distances);
+            let declared = declared_speed(endpoint, distances);
             let mut state = old.remove(name).unwrap_or_else(|| State::new(group, declared));
             state.group = group;
             state.declared = declared;
@@ -60,31 +59,31 @@
         }
     }
 
-    /// Sets how many routers, this one included, send about as much work as
-    /// this one to the same endpoints; their work since the last report is
-    /// assumed to equal this router's.
-    pub fn set_routers(&mut self, routers: u32) {
-        self.routers = routers.max(1);
+    /// Sets the number of routers, including this one, that send about as much
+    /// work as this one to the same endpoints. Each is assumed to have started
+    /// as much work since the last report as this router.
+    pub fn set_routers(&mut self, router_count: u32) {
+        self.router_count = router_count.max(1);
     }
 
-    /// Notes that this router began work at `endpoint`.
+    /// Records that this router started work at `endpoint`.
     pub fn begin(&mut self, endpoint: &Name, now: Instant) {
         if let Some(state) = self.states.get_mut(endpoint) {
             state.begin(now);
         }
     }
 
-    /// Notes that the work begun at `started` ended in any way.
+    /// Records that the work started at `started` has ended, with any result.
     pub fn end(&mut self, endpoint: &Name, started: Instant) {
         if let Some(state) = self.states.get_mut(endpoint) {
             state.end(started);
         }
     }
 
-    /// Takes in an answered step or probe.
+    /// Records an answered step or probe.
     pub fn record_success(&mut self, endpoint: &Name, exchange: &Exchange, now: Instant) {
         let Some(state) = self.states.get_mut(endpoint) else { return };
-        state.failures = 0;
+        state.consecutive_failures = 0;
         state.samples = state.samples.saturating_add(1);
         let total = micros(exchange.total);
         let link = match exchange.service {
@@ -100,10 +99,10 @@
         }
     }
 
-    /// Takes in a failed step or probe that was sent at `started`.
+    /// Records a failed step or probe that was sent at `started`.
     ///
-    /// A refusal to work sent before the present incarnation was first seen
-    /// says nothing about it.
+    /// A refusal by a leaving endpoint is ignored if the request was sent before
+    /// the current incarnation was first seen, since it came from an older one.
     pub fn record_failure(
         &mut self,
         endpoint: &Name,
@@ -114,27 +113,29 @@
     ) {
         let Some(state) = self.states.get_mut(endpoint) else { return };
         match failure {
-            Failure::Leaving if started < state.incarnated => {}
-            Failure::Leaving => state.refuse(),
+            Failure::Leaving if started < state.incarnation_seen_at => {}
+            Failure::Leaving => state.record_refusal(),
             Failure::Overloaded => {
                 let pause = self.settings.overload_pause.mul_f64(rng.random_range(0.5..1.5));
                 state.paused_until = now + pause;
             }
             Failure::NoCache | Failure::Refused(_) => {}
             Failure::Unreachable(_) | Failure::Silent(_) | Failure::Malformed(_) => {
-                state.failures = state.failures.saturating_add(1);
+                state.consecutive_failures = state.consecutive_failures.saturating_add(1);
                 let limit = self.settings.consecutive_failures;
-                if state.failures >= limit && state.availability(now) < Availability::Unreachable {
+                if state.consecutive_failures >= limit
+                    && state.availability(now) < Availability::Unreachable
+                {
                     state.ejection.eject(Availability::Unreachable, &self.settings, now, rng);
                 }
             }
         }
     }
 
-    /// Takes in the load that this router polled itself.
+    /// Records a load that this router polled itself.
     ///
-    /// `incarnation` rises with each start of the endpoint; 0 when it does not
-    /// say.
+    /// `incarnation` increases with each start of the endpoint; it is 0 if the
+    /// endpoint does not report one.
     pub fn record_poll(
         &mut self,
         endpoint: &Name,
@@ -145,14 +146,14 @@
     ) {
         let Some(state) = self.states.get_mut(endpoint) else { return };
         let mut leaving_state = state.leaving_state;
-        leaving_state.report(incarnation, false);
+        leaving_state.apply_report(incarnation, false);
         state.merge_leaving(&leaving_state, now);
         if load.leaving {
-            state.refuse();
+            state.record_refusal();
         }
         let leaving_state = state.leaving_state;
         let endpoint = endpoint.clone();
-        state.report(&Report {
+        state.merge_report(&Report {
             endpoint,
             polled_at: now,
             sequence,
@@ -161,20 +162,21 @@
         });
     }
 
-    /// Takes in a whole VM list: `leaving` says which endpoints' VMs leave.
+    /// Applies a complete VM list; `leaving` says whether an endpoint's VM is
+    /// leaving.
     pub fn apply_vm_list(&mut self, generation: u64, leaving: impl Fn(&Name) -> bool) {
         for (name, state) in &mut self.states {
-            state.list(generation, leaving(name));
+            state.apply_vm_list(generation, leaving(name));
         }
     }
 
-    /// Takes in reports of another router, in any order and any number of
-    /// times; returns those that were not used.
+    /// Merges reports from another router, in any order and any number of times;
+    /// returns an error for each report that was not used.
     pub fn merge(&mut self, batch: &ReportBatch, now: Instant) -> Vec<Error> {
         batch.reports.iter().filter_map(|report| self.merge_one(report, now).err()).collect()
     }
 
-    /// Ejects slow outliers; to be called about once a second.
+    /// Ejects slow outliers; call it about once a second.
     pub fn eject_outliers(&mut self, now: Instant, rng: &mut Pcg64Mcg) {
         let mut groups: HashMap<u32, Vec<(f32, &Name)>> = HashMap::new();
         for (name, state) in &self.states {
@@ -188,7 +190,7 @@
         }
         outliers.sort();
         for name in &outliers {
-            let state = self.states.get_mut(name).expect("outliers are names of known endpoints");
+            let state = self.states.get_mut(name).expect("outliers come from the states");
             state.ejection.eject(Availability::Slow, &self.settings, now, rng);
         }
     }
@@ -203,24 +205,24 @@
             .states
             .get_mut(endpoint)
             .ok_or_else(|| Error::Unknown { endpoint: endpoint.clone() })?;
-        state.report(report);
+        state.merge_report(report);
         Ok(())
     }
 }
 
 /// Queries.
 impl Registry {
-    /// Reports polled after `since`, and every mark of leaving, for other
-    /// routers.
+    /// Reports polled after `since` or on leaving endpoints, for other routers.
     pub fn reports_since(&self, since: Instant) -> ReportBatch {
-        let shared = |state: &State| state.polled_at > since || state.leaving_state.is_leaving();
-        let states = self.states.iter().filter(|(_, state)| shared(state));
-        let mut reports: Vec<Report> = states.map(|(name, state)| report(name, state)).collect();
+        let is_shared = |state: &State| state.polled_at > since || state.leaving_state.is_leaving();
+        let states = self.states.iter().filter(|(_, state)| is_shared(state));
+        let mut reports: Vec<Report> =
+            states.map(|(name, state)| build_report(name, state)).collect();
         reports.sort_by(|a, b| a.endpoint.cmp(&b.endpoint));
         ReportBatch { reports }
     }
 
-    /// Number of endpoints with a state.
+    /// Number of configured endpoints.
     pub fn len(&self) -> usize {
         self.states.len()
     }
@@ -230,8 +232,8 @@
         self.states.is_empty()
     }
 
-    /// Members that may be ejected as outliers, of a group in order of
-    /// falling slowness.
+    /// Members of a group to eject as outliers; `members` is sorted by
+    /// decreasing slowness.
     fn outliers<'a>(&self, members: &[(f32, &'a Name)], now: Instant) -> Vec<&'a Name> {
         let availability = |name: &Name| self.states[name].availability(now);
         let ejected =
@@ -253,11 +255,11 @@
 impl HealthView for Registry {
     fn condition(&self, endpoint: &Name, now: Instant) -> Condition {
         let state = self.states.get(endpoint);
-        state.map_or(Condition::IDLE, |state| state.condition(&self.settings, self.routers, now))
+        state.map_or(Condition::IDLE, |s| s.condition(&self.settings, self.router_count, now))
     }
 }
 
-fn report(endpoint: &Name, state: &State) -> Report {
+fn build_report(endpoint: &Name, state: &State) -> Report {
     Report {
         endpoint: endpoint.clone(),
         polled_at: state.polled_at,
@@ -267,7 +269,8 @@
     }
 }
 
-/// Endpoints with the same key can replace each other.
+/// Key of the endpoint's group: endpoints with the same key are
+/// interchangeable.
 fn group_key(endpoint: &Endpoint) -> (Option<&Name>, u32, u16) {
     match &endpoint.role {
         Role::Service(service) => (Some(service), 0, 0),
@@ -278,16 +281,16 @@
     }
 }
 
-fn declare(endpoint: &Endpoint, distances: &Distances) -> Declared {
+fn declared_speed(endpoint: &Endpoint, distances: &Distances) -> DeclaredSpeed {
     let crossing_us = micros(distances.to(&endpoint.domain));
     match &endpoint.role {
-        Role::Engine(engine) => Declared {
+        Role::Engine(engine) => DeclaredSpeed {
             layer_us: engine.layer_us as f32,
             one_way_us: engine.link_us as f32 + crossing_us,
             bytes_per_second: engine.link_bytes_per_second as f32,
         },
         Role::Service(_) => {
-            Declared { layer_us: 1.0, one_way_us: crossing_us, bytes_per_second: 1e9 }
+            DeclaredSpeed { layer_us: 1.0, one_way_us: crossing_us, bytes_per_second: 1e9 }
         }
     }
 }
--- a/mimosashift/src/health/report.rs
+++ b/mimosashift/src/health/report.rs
@@ -1,4 +1,4 @@
-//! Load reports as routers share them.
+//! Load reports that routers exchange.
 
 use std::time::Duration;
 
@@ -15,9 +15,9 @@
     #[derive(Clone, Debug, PartialEq, Eq)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
-        /// It would outlive every honest report.
+        /// Its time is so far ahead that it would supersede all valid reports.
         Future { endpoint: Name, lead: Duration } {
-            display("report on endpoint {:?} lies {} ms in the future", endpoint.as_str(), lead.as_millis())
+            display("report on endpoint {:?} is {} ms in the future", endpoint.as_str(), lead.as_millis())
         }
         /// It is about an endpoint that is not configured.
         Unknown { endpoint: Name } {
@@ -28,19 +28,19 @@
 
 /// One endpoint's load as polled by one router.
 ///
-/// Of two reports the one with the later `polled_at`, then the higher `sequence`,
-/// replaces the other.
+/// Of two reports on an endpoint, the one with the later `polled_at`, then the
+/// higher `sequence`, replaces the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The endpoint.
     pub endpoint: Name,
     /// When the poll was answered, on the polling router's clock.
     pub polled_at: Instant,
-    /// Number of the poll, rising within one router.
+    /// Number of the poll, increasing within one router.
     pub sequence: u64,
-    /// The engine's answer.
+    /// The load that the engine returned.
     pub load: Load,
-    /// What is known about the endpoint leaving.
+    /// Whether the endpoint is leaving, as far as the router knows.
     pub leaving_state: LeavingState,
 }
 
--- a/mimosashift/src/health/state.rs
+++ b/mimosashift/src/health/state.rs
@@ -3,15 +3,15 @@
 use smallvec::SmallVec;
 
 use super::ejection::Ejection;
-use super::factor::Factor;
+use super::factor::SlownessFactor;
 use super::leaving::LeavingState;
 use super::{Availability, Condition, Report, Settings, model};
 use crate::engine::Load;
 use crate::time::Instant;
 
-/// What the configuration says about an endpoint's speed.
+/// An endpoint's speed as given in the configuration.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Declared {
+pub(super) struct DeclaredSpeed {
     pub(super) layer_us: f32,
     pub(super) one_way_us: f32,
     pub(super) bytes_per_second: f32,
@@ -21,93 +21,95 @@
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) group: u32,
-    pub(super) declared: Declared,
+    pub(super) declared: DeclaredSpeed,
     pub(super) leaving_state: LeavingState,
-    /// The VM list's generation at a refusal by an unknown incarnation.
-    refused: Option<u64>,
-    /// When the present incarnation was first seen.
-    pub(super) incarnated: Instant,
+    /// Generation of the VM list when an unknown incarnation refused as leaving.
+    refused_at_generation: Option<u64>,
+    /// When the current incarnation was first seen.
+    pub(super) incarnation_seen_at: Instant,
     pub(super) polled_at: Instant,
     pub(super) sequence: u64,
     pub(super) load: Load,
     pub(super) ejection: Ejection,
     pub(super) samples: u32,
-    pub(super) failures: u8,
+    pub(super) consecutive_failures: u8,
     pub(super) paused_until: Instant,
-    pub(super) service: Factor,
-    pub(super) link: Factor,
+    pub(super) service: SlownessFactor,
+    pub(super) link: SlownessFactor,
     /// Start times of this router's own work in flight.
-    flight: SmallVec<[Instant; 2]>,
-    /// Own work that the report counts and that has finished since.
-    finished: u32,
+    in_flight: SmallVec<[Instant; 2]>,
+    /// Own work that is included in the report and has finished since.
+    finished_since_report: u32,
 }
 
 impl State {
-    pub(super) fn new(group: u32, declared: Declared) -> Self {
+    pub(super) fn new(group: u32, declared: DeclaredSpeed) -> Self {
         Self {
             group,
             declared,
             leaving_state: LeavingState::default(),
-            refused: None,
-            incarnated: Instant::ZERO,
+            refused_at_generation: None,
+            incarnation_seen_at: Instant::ZERO,
             polled_at: Instant::ZERO,
             sequence: 0,
             load: Load::default(),
             ejection: Ejection::default(),
             samples: 0,
-            failures: 0,
+            consecutive_failures: 0,
             paused_until: Instant::ZERO,
-            service: Factor::default(),
-            link: Factor::default(),
-            flight: SmallVec::new(),
-            finished: 0,
+            service: SlownessFactor::default(),
+            link: SlownessFactor::default(),
+            in_flight: SmallVec::new(),
+            finished_since_report: 0,
         }
     }
 
     pub(super) fn begin(&mut self, now: Instant) {
-        self.flight.push(now);
+        self.in_flight.push(now);
     }
 
     pub(super) fn end(&mut self, started: Instant) {
-        let Some(place) = self.flight.iter().position(|&at| at == started) else { return };
-        self.flight.swap_remove(place);
+        let Some(index) = self.in_flight.iter().position(|&at| at == started) else { return };
+        self.in_flight.swap_remove(index);
         if started <= self.polled_at {
-            self.finished += 1;
+            self.finished_since_report += 1;
         }
     }
 
-    /// Takes in that the endpoint says it is leaving.
+    /// Records that the endpoint refused work because it is leaving.
     ///
-    /// Without a known incarnation the refusal counts for the next one learnt,
-    /// unless a newer VM list withdraws it before.
-    pub(super) fn refuse(&mut self) {
-        if !self.leaving_state.refuse() {
-            self.refused = Some(self.leaving_state.generation());
+    /// If its incarnation is unknown, the refusal applies to the next one
+    /// learned, unless a newer VM list withdraws it first.
+    pub(super) fn record_refusal(&mut self) {
+        if !self.leaving_state.record_refusal() {
+            self.refused_at_generation = Some(self.leaving_state.generation());
         }
     }
 
-    /// Takes in a statement of the VM list.
-    pub(super) fn list(&mut self, generation: u64, leaving: bool) {
-        self.leaving_state.list(generation, leaving);
-        self.refused = self.refused.filter(|&refused| generation <= refused);
+    /// Applies the VM list's entry for the endpoint.
+    pub(super) fn apply_vm_list(&mut self, generation: u64, leaving: bool) {
+        self.leaving_state.apply_vm_list(generation, leaving);
+        self.refused_at_generation =
+            self.refused_at_generation.filter(|&refused_at| generation <= refused_at);
     }
 
-    /// Takes in marks known elsewhere; a new incarnation starts to return.
-    pub(super) fn merge_leaving(&mut self, leaving_state: &LeavingState, seen: Instant) {
+    /// Merges the leaving state known to another source; a new incarnation ends
+    /// the ejection and starts the ramp to full weight.
+    pub(super) fn merge_leaving(&mut self, leaving_state: &LeavingState, seen_at: Instant) {
         let before = self.leaving_state.incarnation();
         self.leaving_state.merge(leaving_state);
         if before > 0 && self.leaving_state.incarnation() > before {
-            self.incarnated = seen;
-            self.failures = 0;
-            self.ejection.lift(seen);
+            self.incarnation_seen_at = seen_at;
+            self.consecutive_failures = 0;
+            self.ejection.lift(seen_at);
         }
-        if self.refused.is_some() && self.leaving_state.refuse() {
-            self.refused = None;
+        if self.refused_at_generation.is_some() && self.leaving_state.record_refusal() {
+            self.refused_at_generation = None;
         }
     }
 
-    /// Takes in a report unless a newer one is known.
-    pub(super) fn report(&mut self, report: &Report) {
+    /// Merges a report, unless a newer one is known.
+    pub(super) fn merge_report(&mut self, report: &Report) {
         self.merge_leaving(&report.leaving_state, report.polled_at);
         if (report.polled_at, report.sequence) <= (self.polled_at, self.sequence) {
             return;
@@ -115,16 +117,18 @@
         self.polled_at = report.polled_at;
         self.sequence = report.sequence;
         self.load = report.load.clone();
-        self.finished = 0;
+        self.finished_since_report = 0;
     }
 
-    /// Sequences at the endpoint: the report, less own work finished since,
-    /// plus the work that `routers` routers like this one began since.
-    fn sequences(&self, routers: u32) -> u32 {
-        let own = self.flight.iter().filter(|&&at| at > self.polled_at).count() as u32;
-        let begun = own.saturating_mul(routers);
+    /// Estimated number of sequences at the endpoint: the reported number, minus
+    /// own work finished since, plus the work started since by `router_count`
+    /// routers, each assumed to have started as much as this one.
+    fn sequences(&self, router_count: u32) -> u32 {
+        let own_started_since =
+            self.in_flight.iter().filter(|&&started| started > self.polled_at).count() as u32;
+        let started_since = own_started_since.saturating_mul(router_count);
         let reported = self.load.queued.saturating_add(self.load.running);
-        reported.saturating_sub(self.finished).saturating_add(begun)
+        reported.saturating_sub(self.finished_since_report).saturating_add(started_since)
     }
 
     pub(super) fn availability(&self, now: Instant) -> Availability {
@@ -135,12 +139,12 @@
     }
 
     pub(super) fn is_leaving(&self) -> bool {
-        self.leaving_state.is_leaving() || self.refused.is_some()
+        self.leaving_state.is_leaving() || self.refused_at_generation.is_some()
     }
 
-    /// How many times slower than declared, over service and link.
+    /// How many times slower than declared: the worse of service and link.
     pub(super) fn slowness(&self, now: Instant) -> f32 {
-        self.service.at(now).max(self.link.at(now))
+        self.service.value(now).max(self.link.value(now))
     }
 
     pub(super) fn observe_service(&mut self, us: f32, layers: u16, tokens: u32, now: Instant) {
@@ -155,16 +159,21 @@
     }
 
     pub(super) fn expected_link_us(&self, bytes: u64) -> f32 {
-        let Declared { one_way_us, bytes_per_second, .. } = self.declared;
+        let DeclaredSpeed { one_way_us, bytes_per_second, .. } = self.declared;
         model::link_us(one_way_us, bytes as f32, bytes_per_second)
     }
 
-    pub(super) fn condition(&self, settings: &Settings, routers: u32, now: Instant) -> Condition {
+    pub(super) fn condition(
+        &self,
+        settings: &Settings,
+        router_count: u32,
+        now: Instant,
+    ) -> Condition {
         Condition {
             availability: self.availability(now),
-            sequences: self.sequences(routers),
-            service_factor: self.service.at(now),
-            link_factor: self.link.at(now),
+            sequences: self.sequences(router_count),
+            service_factor: self.service.value(now),
+            link_factor: self.link.value(now),
             weight: self.ejection.weight(settings, now),
             overloaded: now < self.paused_until,
         }
--- a/mimosashift/tests/health.rs
+++ b/mimosashift/tests/health.rs
@@ -1,4 +1,5 @@
-//! Endpoint state: load, ejection, return, leaving, sharing and polling.
+//! Endpoint health: load estimates, ejection and return, leaving endpoints, report
+//! exchange between routers, and the assignment of pollers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -31,10 +32,10 @@
 }
 
 fn endpoints(count: usize) -> Vec<Name> {
-    (0..count).map(|place| name(&format!("e{place}"))).collect()
+    (0..count).map(|index| name(&format!("e{index}"))).collect()
 }
 
-/// A registry of `count` equal endpoints, one group.
+/// A registry of `count` identical endpoints in one group.
 fn registry(count: usize) -> Registry {
     let body = json!({
         "address": "127.0.0.1:9000", "domain": "a",
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn work_of_like_routers_since_the_report_is_assumed() {
+fn work_of_other_routers_since_the_report_is_estimated() {
     let (mut registry, e) = (registry(1), name("e0"));
     registry.set_routers(8);
     registry.record_poll(&e, 1, &running(5), 1, at(2));
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn link_degraded_a_hundredfold_shows_within_three_exchanges() {
+fn hundredfold_link_slowdown_is_detected_within_three_exchanges() {
     let (mut registry, e) = (registry(1), name("e0"));
     for _ in 0..20 {
         registry.record_success(&e, &step(400), at(1));
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn unconfirmed_slowness_is_forgotten() {
+fn slowness_decays_without_new_observations() {
     let (mut registry, e) = (registry(1), name("e0"));
     registry.record_success(&e, &step(40_000), at(1));
     assert!(registry.condition(&e, at(1)).link_factor > 20.0);
@@ -140,10 +141,10 @@
 }
 
 #[test]
-fn ejection_backs_off_and_return_is_slow() {
+fn ejection_time_backs_off_and_weight_ramps_up() {
     let (mut registry, e, mut rng) = (registry(1), name("e0"), rng());
     let mut now = at(1);
-    let mut lengths = Vec::new();
+    let mut ejection_times = Vec::new();
     for _ in 0..4 {
         for _ in 0..3 {
             registry.record_failure(&e, &silent(), now, now, &mut rng);
@@ -152,10 +153,10 @@
         while registry.condition(&e, now).availability != Availability::Live {
             now = now + Duration::from_millis(10);
         }
-        lengths.push(now.since(start));
+        ejection_times.push(now.since(start));
     }
-    assert!(lengths.windows(2).all(|pair| pair[1] > pair[0]), "{lengths:?}");
-    assert!(lengths[3] >= lengths[0] * 4, "{lengths:?}");
+    assert!(ejection_times.windows(2).all(|pair| pair[1] > pair[0]), "{ejection_times:?}");
+    assert!(ejection_times[3] >= ejection_times[0] * 4, "{ejection_times:?}");
     let weight = |later| registry.condition(&e, now + Duration::from_secs(later)).weight;
     assert!(weight(0) < 0.15, "{}", weight(0));
     assert!(weight(0) < weight(10) && weight(10) < weight(20));
@@ -165,9 +166,9 @@
 #[test]
 fn slow_outliers_are_ejected_up_to_the_cap() {
     let (mut registry, mut rng) = (registry(20), rng());
-    for (place, e) in endpoints(20).iter().enumerate() {
+    for (index, e) in endpoints(20).iter().enumerate() {
         for _ in 0..10 {
-            registry.record_success(e, &step(if place < 9 { 40_000 } else { 400 }), at(1));
+            registry.record_success(e, &step(if index < 9 { 40_000 } else { 400 }), at(1));
         }
     }
     for second in 1..4 {
@@ -196,7 +197,7 @@
     assert_eq!(availability(&name("e9")), Availability::Live);
 }
 
-/// Ways to learn that `e0`, polled at incarnation 1, is leaving.
+/// How a registry learns that `e0`, polled at incarnation 1, is leaving.
 #[derive(Clone, Copy, Debug)]
 enum Source {
     List,
@@ -224,7 +225,7 @@
 #[test_case(Source::Own)]
 #[test_case(Source::Refusal)]
 #[test_case(Source::Peer)]
-fn leaving_stands_until_a_newer_incarnation(source: Source) {
+fn leaving_persists_until_a_newer_incarnation(source: Source) {
     let (mut registry, e) = (registry(1), name("e0"));
     registry.record_poll(&e, 1, &running(0), 1, at(1));
     leave(&mut registry, source);
@@ -238,7 +239,7 @@
 }
 
 #[test]
-fn newer_list_withdraws_its_mark() {
+fn newer_vm_list_withdraws_its_leaving_state() {
     let (mut registry, e) = (registry(1), name("e0"));
     registry.apply_vm_list(5, |_| true);
     registry.apply_vm_list(6, |_| false);
@@ -248,7 +249,7 @@
 
 #[test_case(false; "polled")]
 #[test_case(true; "shared by a peer")]
-fn refusal_of_the_incarnation_before_is_not_held_against_the_next(shared: bool) {
+fn refusal_by_the_previous_incarnation_does_not_affect_the_next(shared: bool) {
     let (mut registry, e) = (registry(1), name("e0"));
     registry.record_poll(&e, 1, &running(0), 1, at(1));
     let mut peer = self::registry(1);
@@ -260,7 +261,7 @@
 }
 
 #[test]
-fn refusal_by_an_unknown_incarnation_counts_for_the_first_learnt() {
+fn refusal_by_an_unknown_incarnation_applies_to_the_first_learned() {
     let (mut registry, e) = (registry(1), name("e0"));
     let mut peer = self::registry(1);
     peer.record_poll(&e, 1, &running(0), 1, at(2));
@@ -274,7 +275,7 @@
 }
 
 #[test]
-fn newer_list_withdraws_a_refusal_by_an_unknown_incarnation() {
+fn newer_vm_list_withdraws_a_refusal_by_an_unknown_incarnation() {
     let (mut registry, e) = (registry(1), name("e0"));
     registry.apply_vm_list(5, |_| false);
     registry.record_failure(&e, &Failure::Leaving, at(1), at(1), &mut rng());
@@ -285,7 +286,7 @@
 }
 
 #[test]
-fn report_from_the_future_is_refused() {
+fn report_too_far_in_the_future_is_rejected() {
     let mut registry = registry(1);
     let mut peer = self::registry(1);
     peer.record_poll(&name("e0"), 1, &running(9), 1, at(100));
@@ -294,24 +295,27 @@
 }
 
 #[test]
-fn each_endpoint_has_one_poller_and_a_lost_router_moves_only_its_own() {
+fn each_endpoint_has_one_poller_and_a_lost_router_reassigns_only_its_endpoints() {
     let (a, b) = (name("a"), name("b"));
-    let names: Vec<String> = (0..8).map(|place| format!("r{place}")).collect();
-    let domain = |place| if place < 4 { &a } else { &b };
+    let names: Vec<String> = (0..8).map(|index| format!("r{index}")).collect();
+    let domain = |index| if index < 4 { &a } else { &b };
     let routers: Vec<Router<'_>> = names
         .iter()
         .enumerate()
-        .map(|(place, name)| Router { name, domain: domain(place) })
+        .map(|(index, name)| Router { name, domain: domain(index) })
         .collect();
-    let mut shares = BTreeMap::new();
+    let mut endpoints_per_router = BTreeMap::new();
     for e in endpoints(400) {
         let before = poller(&e, &a, &routers).unwrap().name;
         let after = poller(&e, &a, &routers[1..]).unwrap().name;
         assert!(before == "r0" || before == after);
         assert!(["r0", "r1", "r2", "r3"].contains(&before));
-        *shares.entry(before).or_insert(0) += 1;
+        *endpoints_per_router.entry(before).or_insert(0) += 1;
     }
-    assert!(shares.values().all(|&share| (50..200).contains(&share)), "{shares:?}");
+    assert!(
+        endpoints_per_router.values().all(|&count| (50..200).contains(&count)),
+        "{endpoints_per_router:?}"
+    );
     assert!(poller(&name("e0"), &name("c"), &routers).is_some());
     assert!(poller(&name("e0"), &a, &[]).is_none());
 }
@@ -321,10 +325,10 @@
     let reports = proptest::collection::vec(report, 1..12);
     reports.prop_map(|parts| {
         let build =
-            |(place, second, sequence, incarnation, leaving): (usize, u64, u64, u64, bool)| {
+            |(index, second, sequence, incarnation, leaving): (usize, u64, u64, u64, bool)| {
                 let mut source = registry(3);
-                let e = &endpoints(3)[place];
-                // One poll has one answer, so the load follows from its number.
+                let e = &endpoints(3)[index];
+                // A poll has a single answer, so the load is derived from its number.
                 let running = (second * 10 + sequence) as u32;
                 let load = Load { running, leaving, ..Load::default() };
                 source.record_poll(e, incarnation, &load, sequence + 1, at(second + 1));
@@ -342,7 +346,7 @@
     })]
 
     #[test]
-    fn merge_is_the_same_in_any_order_and_any_number_of_times(reports in reports()) {
+    fn merge_is_commutative_and_idempotent(reports in reports()) {
         let mut forward = registry(3);
         let mut backward = registry(3);
         forward.merge(&ReportBatch { reports: reports.clone() }, at(9));
