--- a/mimosabench/src/policy/bound.rs
+++ b/mimosabench/src/policy/bound.rs
@@ -1,6 +1,6 @@
 //! The flow that the hardware and links could carry, from declared speeds.
 
-use mimosashift::health::model;
+use mimosashift::health::time_model;
 
 use super::fleet::{Fleet, HIDDEN_BYTES, Mix, STAGES};
 
@@ -22,8 +22,8 @@
 /// Engine time of a request in one-token steps of a batch of one, when every
 /// batch is full.
 pub fn work(prompt: f64, answer: f64, slots: u32) -> f64 {
-    let step = f64::from(model::batch_weight(slots)) / f64::from(slots);
-    let prefill = f64::from(model::step_weight(prompt as f32) - 1.0);
+    let step = f64::from(time_model::batch_weight(slots)) / f64::from(slots);
+    let prefill = f64::from(time_model::step_weight(prompt as f32) - 1.0);
     answer * step + prefill
 }
 
--- a/mimosabench/src/policy/engine.rs
+++ b/mimosabench/src/policy/engine.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use mimosashift::engine::{Failure, Input, Label, Load, Output, Step};
-use mimosashift::health::model;
+use mimosashift::health::time_model;
 use mimosashift::resource::Engine as Declared;
 
 use super::fleet::{LAYERS, STAGE_LAYERS};
@@ -123,9 +123,9 @@
         }
         self.fill_batch();
         let size = self.batch.len() as u32;
-        let prefill = |job: &Job| model::step_weight(job.step.label.count as f32) - 1.0;
+        let prefill = |job: &Job| time_model::step_weight(job.step.label.count as f32) - 1.0;
         let prefills: f32 = self.batch.iter().map(prefill).sum();
-        Some(self.iteration.mul_f32(model::batch_weight(size) + prefills))
+        Some(self.iteration.mul_f32(time_model::batch_weight(size) + prefills))
     }
 
     /// Takes steps in order of arrival, with one prompt at most: engines bound
--- a/mimosashift/src/health/mod.rs
+++ b/mimosashift/src/health/mod.rs
@@ -12,11 +12,11 @@
 mod ejection;
 mod factor;
 mod leaving;
-pub mod model;
 pub mod probe;
 mod registry;
 mod report;
 mod state;
+pub mod time_model;
 
 pub use leaving::LeavingState;
 pub use registry::{Exchange, Registry};
--- a/mimosashift/src/health/state.rs
+++ b/mimosashift/src/health/state.rs
@@ -5,7 +5,7 @@
 use super::ejection::Ejection;
 use super::factor::SlownessFactor;
 use super::leaving::LeavingState;
-use super::{Availability, Condition, Report, Settings, model};
+use super::{Availability, Condition, Report, Settings, time_model};
 use crate::engine::Load;
 use crate::time::Instant;
 
@@ -148,8 +148,8 @@
     }
 
     pub(super) fn observe_service(&mut self, us: f32, layers: u16, tokens: u32, now: Instant) {
-        let step = model::step_weight(tokens as f32);
-        let batch = model::batch_weight(self.load.running);
+        let step = time_model::step_weight(tokens as f32);
+        let batch = time_model::batch_weight(self.load.running);
         let expected = self.declared.layer_us * f32::from(layers) * step * batch;
         self.service.observe(us / expected.max(1.0), now);
     }
@@ -160,7 +160,7 @@
 
     pub(super) fn expected_link_us(&self, bytes: u64) -> f32 {
         let DeclaredSpeed { one_way_us, bytes_per_second, .. } = self.declared;
-        model::link_us(one_way_us, bytes as f32, bytes_per_second)
+        time_model::link_us(one_way_us, bytes as f32, bytes_per_second)
     }
 
     pub(super) fn condition(
--- a/mimosashift/src/pipeline/recovery.rs
+++ b/mimosashift/src/pipeline/recovery.rs
@@ -4,7 +4,7 @@
 
 use smallvec::SmallVec;
 
-use crate::health::model;
+use crate::health::time_model;
 use crate::resource::{Engine, Layers, Name, Pipeline};
 use crate::route::{Chain, Stage};
 
@@ -43,7 +43,7 @@
             let trip = Duration::from_micros(u64::from(engine.link_us) * 2);
             let bandwidth = engine.link_bytes_per_second.max(1);
             cost.prefill_base += trip + compute;
-            cost.prefill_token += compute.mul_f32(model::step_weight(2.0) - 1.0);
+            cost.prefill_token += compute.mul_f32(time_model::step_weight(2.0) - 1.0);
             cost.prefill_token += Duration::from_secs_f64(token_bytes / bandwidth as f64);
             cost.link_latency = cost.link_latency.max(trip);
             cost.link_bytes_per_second = cost.link_bytes_per_second.min(bandwidth);
--- a/mimosashift/src/route/cost.rs
+++ b/mimosashift/src/route/cost.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Ask, Settings};
-use crate::health::{Availability, Condition, model};
+use crate::health::{Availability, Condition, time_model};
 use crate::resource::{Engine, Snapshot};
 
 /// Added to the cost of a returning endpoint that sits this choice out; more
@@ -77,7 +77,7 @@
         // A sequence takes a slot only while it is at this stage.
         let present = 1.0 + condition.sequences as f32 * self.share;
         let batched = (present.ceil() as u32).min(self.slots);
-        let slowed = self.layer_us * condition.service_factor * model::batch_weight(batched);
+        let slowed = self.layer_us * condition.service_factor * time_model::batch_weight(batched);
         let layer_us = f64::from(slowed * work.steps);
         let slots = f64::from(self.slots);
         let free_slots = slots * (1.0 - settings.reserved_share);
@@ -103,7 +103,7 @@
     }
 
     fn link_us(&self, work: &Work) -> f32 {
-        let exchange = |bytes| model::link_us(self.one_way_us, bytes, self.bytes_per_second);
+        let exchange = |bytes| time_model::link_us(self.one_way_us, bytes, self.bytes_per_second);
         exchange(work.prompt_bytes) + work.decode_steps * exchange(work.decode_bytes)
     }
 }
@@ -125,7 +125,7 @@
         let token_bytes = 2.0 * hidden_bytes as f32;
         Self {
             layers: f32::from(layers),
-            steps: model::step_weight(prompt) + decode_steps,
+            steps: time_model::step_weight(prompt) + decode_steps,
             decode_steps,
             prompt_bytes: prompt * token_bytes,
             decode_bytes: token_bytes,
