--- a/mimosashift/src/admit/share.rs
+++ b/mimosashift/src/admit/share.rs
@@ -68,7 +68,7 @@
 }
 
 struct PeerDemand {
-    last_report: Instant,
+    last_report_at: Instant,
     demand: HashMap<TeamId, DecayingDemand>,
 }
 
@@ -140,8 +140,8 @@
         let peer = self
             .peers
             .entry(peer_name.clone())
-            .or_insert_with(|| PeerDemand { last_report: now, demand: HashMap::new() });
-        peer.last_report = now;
+            .or_insert_with(|| PeerDemand { last_report_at: now, demand: HashMap::new() });
+        peer.last_report_at = now;
         for (team, demand) in &report.entries {
             let reported = DecayingDemand::new(now, *demand);
             let before = peer.demand.insert(*team, reported);
@@ -158,7 +158,7 @@
     pub fn expire(&mut self, now: Instant) {
         let others = &mut self.others;
         self.peers.retain(|_, peer| {
-            let alive = now.since(peer.last_report) < PEER_TIMEOUT;
+            let alive = now.since(peer.last_report_at) < PEER_TIMEOUT;
             if !alive {
                 subtract_peer(now, others, peer);
             }
--- a/mimosashift/src/health/registry.rs
+++ b/mimosashift/src/health/registry.rs
@@ -102,7 +102,7 @@
     /// Records a failed step or probe that was sent at `started`.
     ///
     /// A refusal by a leaving endpoint is ignored if the request was sent before
-    /// the current incarnation was first seen, since it came from an older one.
+    /// the current incarnation was first seen, since it may come from an older one.
     pub fn record_failure(
         &mut self,
         endpoint: &Name,
--- a/mimosashift/src/health/state.rs
+++ b/mimosashift/src/health/state.rs
@@ -23,7 +23,8 @@
     pub(super) group: u32,
     pub(super) declared: DeclaredSpeed,
     pub(super) leaving_state: LeavingState,
-    /// Generation of the VM list when an unknown incarnation refused as leaving.
+    /// Generation of the VM list when an unknown incarnation refused work as
+    /// leaving.
     refused_at_generation: Option<u64>,
     /// When the current incarnation was first seen.
     pub(super) incarnation_seen_at: Instant,
