--- a/mimosashift/src/layout/mod.rs
+++ b/mimosashift/src/layout/mod.rs
@@ -1,9 +1,10 @@
-//! Which endpoint holds which layers of a model.
+//! Assigns the layers of a model to endpoints.
 //!
-//! [`plan`] is one function of the endpoints and the engine's figures, so that
-//! every router would give the same orders. Each pool, a zone or several that
-//! hold no copy alone, gets one whole copy with memory left for requests, and
-//! second copies of what is slowest to replace. See `docs/design/layout.md`.
+//! [`plan`] depends only on the endpoints and the engine's parameters, so that
+//! every router computes the same assignments. Each pool (a zone, or several
+//! zones that cannot hold a copy alone) gets one complete copy with memory left
+//! for requests, and second copies of the layers that take longest to replace.
+//! See `docs/design/layout.md`.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,64 +12,67 @@
 use crate::deployment::{Card, Engine};
 use crate::resource::Layers;
 
-/// Tokens for whose KV cache each layer's holder keeps memory, at most; more
-/// would cut the copy into more parts, and each part delays every token.
+/// Upper bound on the KV cache capacity reserved for each layer, in tokens. A
+/// larger reserve splits the copy into more parts, each of which adds latency
+/// to every token.
 const MAX_TOKENS: f64 = 140_000.0;
 
-/// Tokens for whose KV cache memory is kept at least, when a pool is short.
+/// Lower bound on the KV cache capacity reserved for each layer, in tokens, when
+/// a pool is small of memory.
 const MIN_TOKENS: f64 = 40_000.0;
 
-/// Step between the token targets that are tried.
+/// Step between the capacity targets that are tried, in tokens.
 const TOKEN_STEP: f64 = 10_000.0;
 
-/// Layers that a pool holds in all, in copies: one, and room to replace some.
-const COPIES: f64 = 1.2;
+/// Copies of the model that a pool should have room for: one, and spare room to
+/// replace lost layers.
+const TARGET_COPIES: f64 = 1.2;
 
-/// Worth of a further copy of a layer against a first one.
-const FURTHER_COPY: f64 = 0.02;
+/// Score of an additional copy of a layer, relative to that of the first.
+const EXTRA_COPY_SCORE: f64 = 0.02;
 
-/// Worth of one more copy that a layer has whoever holds it, beside the share
-/// of the model that its largest holder has: that takes long to load again.
-const BASE_WORTH: f64 = 0.5;
+/// Part of the score of an additional copy that does not depend on the holders.
+/// The other part is the share of the model on the largest holder, because
+/// a larger range takes longer to reload.
+const BASE_SCORE: f64 = 0.5;
 
-/// Factor by which a change must raise the tokens of the layer that has the
-/// fewest, since every change takes an endpoint out for a while.
-const GAIN: f64 = 1.15;
+/// Factor by which a change must raise the capacity of the scarcest layer, since
+/// an endpoint is unavailable while it changes its range.
+const MIN_GAIN: f64 = 1.15;
 
-/// Share of the target below which a layer is worth a change: an endpoint
-/// that changes its range serves nothing of it for seconds.
-const THIN: f64 = 0.6;
+/// Share of the target capacity below which the scarcest layer justifies a
+/// change: an endpoint serves no layers for seconds while it changes its range.
+const LOW_CAPACITY_SHARE: f64 = 0.6;
 
-/// Share of a layer's tokens that other endpoints must hold while the change
-/// of one is under way.
-const KEPT: f64 = 0.5;
+/// Share of the scarcest layer's capacity that other endpoints must provide,
+/// during a change, for each layer that the changed endpoint gives up.
+const MIN_REMAINING_SHARE: f64 = 0.5;
 
-/// Cost of a layer that is loaded though another endpoint of the pool holds
-/// it, against the worth of a missing layer.
+/// Cost of loading one layer, relative to the score of a missing layer.
 const LOAD_COST: f64 = 0.01;
 
-/// Cost of changing an endpoint whose memory is all in use, against the worth
-/// of a missing layer: what passes through it must end first.
-const BUSY_COST: f64 = 1.0;
+/// Cost of changing an endpoint whose memory is fully used, relative to the score
+/// of a missing layer: its requests must end first.
+const IN_USE_COST: f64 = 1.0;
 
-/// An endpoint to plan for.
+/// State of an endpoint that the planner reads.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointState {
     /// The endpoint.
     pub id: Arc<str>,
     /// Its zone.
     pub zone: Arc<str>,
-    /// Its card.
+    /// Its accelerator card.
     pub card: Card,
-    /// Layers that it holds or has been told to hold.
+    /// Layers that it holds or has been ordered to hold.
     pub layers: Option<Layers>,
-    /// KV cache in use, tokens x layers: it must still fit after a change.
+    /// KV cache in use, tokens x layers; it must still fit after a change.
     pub used: f64,
-    /// Whether an order is being carried out, so that another must wait.
+    /// Whether an order is in progress, so that no other may be sent.
     pub busy: bool,
 }
 
-/// Layers that an endpoint shall hold from now on.
+/// The layers that an endpoint is to hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
     /// The endpoint.
@@ -77,62 +81,64 @@
     pub layers: Layers,
 }
 
-/// The orders that bring the places nearer to a whole copy in each pool.
-pub fn plan(engine: &Engine, places: &[EndpointState]) -> Vec<Assignment> {
-    let mut moves = Vec::new();
-    for pool in pools(engine, places) {
-        moves.extend(Pool::new(engine, pool).plan());
+/// Returns the assignments that bring each pool closer to a complete copy.
+pub fn plan(engine: &Engine, endpoints: &[EndpointState]) -> Vec<Assignment> {
+    let mut assignments = Vec::new();
+    for pool in pools(engine, endpoints) {
+        assignments.extend(Pool::new(engine, pool).plan());
     }
-    moves
+    assignments
 }
 
-/// Zones, joined with others while they hold no copy alone.
-fn pools(engine: &Engine, places: &[EndpointState]) -> Vec<Vec<EndpointState>> {
+/// Groups endpoints by zone and merges zones that cannot hold a copy alone.
+fn pools(engine: &Engine, endpoints: &[EndpointState]) -> Vec<Vec<EndpointState>> {
     let mut zones: BTreeMap<&str, Vec<EndpointState>> = BTreeMap::new();
-    for place in places {
-        zones.entry(&place.zone).or_default().push(place.clone());
+    for endpoint in endpoints {
+        zones.entry(&endpoint.zone).or_default().push(endpoint.clone());
     }
     let mut pools: Vec<Vec<EndpointState>> = zones.into_values().collect();
-    let holds =
-        |pool: &Vec<EndpointState>| total(engine, pool, MIN_TOKENS) >= u32::from(engine.layers);
+    let holds_copy = |pool: &Vec<EndpointState>| {
+        total_layers(engine, pool, MIN_TOKENS) >= u32::from(engine.layers)
+    };
     while pools.len() > 1
-        && let Some(short) = pools.iter().position(|pool| !holds(pool))
+        && let Some(small) = pools.iter().position(|pool| !holds_copy(pool))
     {
-        let pool = pools.remove(short);
-        let fewest = (0..pools.len()).min_by_key(|i| total(engine, &pools[*i], MIN_TOKENS));
+        let pool = pools.remove(small);
+        let fewest = (0..pools.len()).min_by_key(|i| total_layers(engine, &pools[*i], MIN_TOKENS));
         pools[fewest.expect("another pool is left")].extend(pool);
     }
     pools
 }
 
-fn total(engine: &Engine, pool: &[EndpointState], tokens: f64) -> u32 {
-    pool.iter().map(|place| u32::from(engine.layers_beside(&place.card, tokens))).sum()
+/// Number of layers that the endpoints can hold beside `tokens` of KV cache each.
+fn total_layers(engine: &Engine, pool: &[EndpointState], tokens: f64) -> u32 {
+    pool.iter().map(|endpoint| u32::from(engine.layers_beside(&endpoint.card, tokens))).sum()
 }
 
 struct Pool<'a> {
     engine: &'a Engine,
-    places: Vec<EndpointState>,
-    /// By layer, the tokens for which its holders have memory; 0 when none
-    /// holds it.
-    tokens: Vec<f64>,
-    /// By layer, the largest range of a place that holds it.
+    endpoints: Vec<EndpointState>,
+    /// KV cache capacity of each layer's holders, in tokens; 0 for a layer without
+    /// a holder.
+    capacity: Vec<f64>,
+    /// For each layer, the number of layers on its largest holder.
     largest: Vec<u16>,
-    moves: Vec<Assignment>,
+    assignments: Vec<Assignment>,
 }
 
 impl<'a> Pool<'a> {
-    fn new(engine: &'a Engine, mut places: Vec<EndpointState>) -> Self {
-        // The fastest first, so that they get the first copy.
-        places.sort_by(|a, b| a.card.pace.total_cmp(&b.card.pace).then_with(|| a.id.cmp(&b.id)));
+    fn new(engine: &'a Engine, mut endpoints: Vec<EndpointState>) -> Self {
+        // Fastest endpoints first, so that they get the first copy.
+        endpoints.sort_by(|a, b| a.card.pace.total_cmp(&b.card.pace).then_with(|| a.id.cmp(&b.id)));
         let layers = usize::from(engine.layers);
         let mut pool = Self {
             engine,
-            places,
-            tokens: vec![0.0; layers],
+            endpoints,
+            capacity: vec![0.0; layers],
             largest: vec![0; layers],
-            moves: Vec::new(),
+            assignments: Vec::new(),
         };
-        pool.count();
+        pool.recount();
         pool
     }
 
@@ -141,189 +147,195 @@
         self.fill(target);
         let mut tokens = target;
         while self.has_gap() && tokens >= MIN_TOKENS {
-            // The largest changes that leave each endpoint the most memory.
+            // Repairs what it can at this capacity, before reserving less.
             while self.has_gap() && self.repair(tokens) {}
             tokens -= TOKEN_STEP;
         }
-        let busy = self.places.iter().any(|place| place.busy);
-        if self.moves.is_empty() && !busy && !self.has_gap() {
+        let busy = self.endpoints.iter().any(|endpoint| endpoint.busy);
+        if self.assignments.is_empty() && !busy && !self.has_gap() {
             self.improve(target);
         }
-        self.moves
+        self.assignments
     }
 
-    /// The most tokens, in steps, for which the pool still holds its copies.
+    /// Highest capacity target, in tokens, at which the pool has room for
+    /// `TARGET_COPIES`.
     fn target(&self) -> f64 {
-        let wanted = COPIES * f64::from(self.engine.layers);
+        let min_layers = TARGET_COPIES * f64::from(self.engine.layers);
         let mut tokens = MAX_TOKENS;
-        while tokens > MIN_TOKENS && f64::from(total(self.engine, &self.places, tokens)) < wanted {
+        while tokens > MIN_TOKENS
+            && f64::from(total_layers(self.engine, &self.endpoints, tokens)) < min_layers
+        {
             tokens -= TOKEN_STEP;
         }
         tokens
     }
 
     fn has_gap(&self) -> bool {
-        self.tokens.contains(&0.0)
+        self.capacity.contains(&0.0)
     }
 
-    fn count(&mut self) {
-        self.tokens.fill(0.0);
+    /// Recomputes the capacity and the largest holder of each layer.
+    fn recount(&mut self) {
+        self.capacity.fill(0.0);
         self.largest.fill(0);
-        for place in &self.places {
-            let Some(layers) = place.layers else { continue };
-            let tokens = self.tokens_of(place, layers);
+        for endpoint in &self.endpoints {
+            let Some(layers) = endpoint.layers else { continue };
+            let tokens = self.capacity_of(endpoint, layers);
             for layer in range(layers) {
-                self.tokens[layer] += tokens;
+                self.capacity[layer] += tokens;
                 self.largest[layer] = self.largest[layer].max(layers.count());
             }
         }
     }
 
-    /// Tokens for which a place that holds `layers` has memory in each.
-    fn tokens_of(&self, place: &EndpointState, layers: Layers) -> f64 {
+    /// KV cache capacity of an endpoint for each of `layers`, in tokens.
+    fn capacity_of(&self, endpoint: &EndpointState, layers: Layers) -> f64 {
         let count = layers.count();
-        // A holder without memory still keeps its layers from being a gap.
-        (self.engine.capacity(&place.card, count) / f64::from(count)).max(1.0)
+        // At least 1, because a layer whose holder has no memory left is no gap.
+        (self.engine.capacity(&endpoint.card, count) / f64::from(count)).max(1.0)
     }
 
-    /// Gives every empty place the range that is needed most.
+    /// Assigns the range with the highest score to every empty endpoint.
     fn fill(&mut self, tokens: f64) {
-        for index in 0..self.places.len() {
-            let place = &self.places[index];
-            if place.layers.is_some() || place.busy {
+        for index in 0..self.endpoints.len() {
+            let endpoint = &self.endpoints[index];
+            if endpoint.layers.is_some() || endpoint.busy {
                 continue;
             }
-            let count = self.engine.layers_beside(&place.card, tokens);
+            let count = self.engine.layers_beside(&endpoint.card, tokens);
             let starts = 0..=self.engine.layers.saturating_sub(count);
-            let worth = |start: u16| -> f64 {
-                (start..start + count).map(|layer| self.need(usize::from(layer))).sum()
+            let score = |start: u16| -> f64 {
+                (start..start + count).map(|layer| self.copy_score(usize::from(layer))).sum()
             };
-            // The lowest start among equals keeps ranges side by side.
+            // On a tie the lowest start wins, which keeps ranges adjacent.
             let best = starts
-                .map(|start| (start, worth(start)))
+                .map(|start| (start, score(start)))
                 .reduce(|best, next| if next.1 > best.1 + 1e-9 { next } else { best });
             if let Some((start, _)) = best
                 && let Ok(layers) = Layers::try_from((start, start + count))
             {
-                self.order(index, layers);
+                self.assign(index, layers);
             }
         }
     }
 
-    /// How much one more copy of a layer is needed.
-    fn need(&self, layer: usize) -> f64 {
-        if self.tokens[layer] == 0.0 {
+    /// Score of one more copy of a layer.
+    fn copy_score(&self, layer: usize) -> f64 {
+        if self.capacity[layer] == 0.0 {
             return 1.0;
         }
         let share = f64::from(self.largest[layer]) / f64::from(self.engine.layers);
-        FURTHER_COPY * (BASE_WORTH + share) * (MAX_TOKENS / self.tokens[layer]).min(2.0)
+        EXTRA_COPY_SCORE * (BASE_SCORE + share) * (MAX_TOKENS / self.capacity[layer]).min(2.0)
     }
 
-    /// Changes the one range whose change most raises the tokens of the layer
-    /// that has the fewest, if those are far below the target.
+    /// Changes the one range that most raises the capacity of the scarcest layer,
+    /// if that capacity is far below the target.
     fn improve(&mut self, target: f64) {
         let least = |tokens: &[f64]| tokens.iter().copied().fold(f64::MAX, f64::min);
-        let now = least(&self.tokens);
-        if now >= THIN * target {
+        let now = least(&self.capacity);
+        if now >= LOW_CAPACITY_SHARE * target {
             return;
         }
         let mut best: Option<(f64, usize, Layers)> = None;
-        for (index, place) in self.places.iter().enumerate() {
-            let Some(held) = place.layers else { continue };
-            let mut without = self.tokens.clone();
-            let tokens = self.tokens_of(place, held);
+        for (index, endpoint) in self.endpoints.iter().enumerate() {
+            let Some(held) = endpoint.layers else { continue };
+            let mut without = self.capacity.clone();
+            let tokens = self.capacity_of(endpoint, held);
             range(held).for_each(|layer| without[layer] -= tokens);
-            let most = self.engine.layers_beside(&place.card, MIN_TOKENS);
+            let most = self.engine.layers_beside(&endpoint.card, MIN_TOKENS);
             for layers in ranges(1, most, self.engine.layers) {
                 let given_up = range(held).filter(|layer| !range(layers).contains(layer));
-                if given_up.clone().any(|layer| without[layer] < KEPT * now) {
+                if given_up.clone().any(|layer| without[layer] < MIN_REMAINING_SHARE * now) {
                     continue;
                 }
-                if !self.fits(place, layers) {
+                if !self.fits(endpoint, layers) {
                     continue;
                 }
-                let tokens = self.tokens_of(place, layers);
+                let tokens = self.capacity_of(endpoint, layers);
                 let mut with = without.clone();
                 range(layers).for_each(|layer| with[layer] += tokens);
-                let reached = least(&with);
-                if reached > best.map_or(now * GAIN, |(reached, ..)| reached) {
-                    best = Some((reached, index, layers));
+                let lowest = least(&with);
+                if lowest > best.map_or(now * MIN_GAIN, |(lowest, ..)| lowest) {
+                    best = Some((lowest, index, layers));
                 }
             }
         }
         if let Some((_, index, layers)) = best {
-            self.order(index, layers);
+            self.assign(index, layers);
         }
     }
 
-    fn order(&mut self, index: usize, layers: Layers) {
-        let place = &mut self.places[index];
-        place.layers = Some(layers);
-        self.moves.retain(|earlier| earlier.id != place.id);
-        self.moves.push(Assignment { id: place.id.clone(), layers });
-        self.count();
+    /// Assigns layers to an endpoint, replacing its earlier assignment.
+    fn assign(&mut self, index: usize, layers: Layers) {
+        let endpoint = &mut self.endpoints[index];
+        endpoint.layers = Some(layers);
+        self.assignments.retain(|earlier| earlier.id != endpoint.id);
+        self.assignments.push(Assignment { id: endpoint.id.clone(), layers });
+        self.recount();
     }
 
-    /// Moves or widens one place so that more layers are held; false when no
-    /// change helps.
+    /// Makes the one change of a range that best covers missing layers; returns
+    /// false if no change helps.
     fn repair(&mut self, tokens: f64) -> bool {
         let mut best: Option<(f64, usize, Layers)> = None;
-        for (index, place) in self.places.iter().enumerate() {
-            if place.busy {
+        for (index, endpoint) in self.endpoints.iter().enumerate() {
+            if endpoint.busy {
                 continue;
             }
-            let most = self.engine.layers_beside(&place.card, tokens);
-            for (worth, layers) in self.changes(place, most) {
-                if worth > best.map_or(0.0, |(worth, ..)| worth) {
-                    best = Some((worth, index, layers));
+            let most = self.engine.layers_beside(&endpoint.card, tokens);
+            for (score, layers) in self.changes(endpoint, most) {
+                if score > best.map_or(0.0, |(score, ..)| score) {
+                    best = Some((score, index, layers));
                 }
             }
         }
         let Some((_, index, layers)) = best else { return false };
-        self.order(index, layers);
+        self.assign(index, layers);
         true
     }
 
-    /// The ranges that a place could hold instead, with their worth.
-    fn changes(&self, place: &EndpointState, most: u16) -> Vec<(f64, Layers)> {
-        let now = place.layers;
+    /// The ranges an endpoint could hold instead that cover missing layers, with
+    /// their scores.
+    fn changes(&self, endpoint: &EndpointState, most: u16) -> Vec<(f64, Layers)> {
+        let now = endpoint.layers;
         let busy = now.map_or(0.0, |now| {
-            let capacity = self.engine.capacity(&place.card, now.count());
-            (place.used / capacity.max(1.0)).min(1.0)
+            let capacity = self.engine.capacity(&endpoint.card, now.count());
+            (endpoint.used / capacity.max(1.0)).min(1.0)
         });
         let least = now.map_or(1, |layers| layers.count().min(most)).max(1);
         let mut changes = Vec::new();
         for layers in ranges(least, most, self.engine.layers) {
-            let gained = range(layers).filter(|layer| self.tokens[*layer] == 0.0).count();
-            if gained == 0 || !self.fits(place, layers) || self.uncovers(place, layers) {
+            let gained = range(layers).filter(|layer| self.capacity[*layer] == 0.0).count();
+            if gained == 0 || !self.fits(endpoint, layers) || self.opens_gap(endpoint, layers) {
                 continue;
             }
             let held = |layer: &usize| now.is_some_and(|now| range(now).contains(layer));
             let loaded = range(layers).filter(|layer| !held(layer)).count();
-            let cost = LOAD_COST * loaded as f64 + BUSY_COST * busy;
+            let cost = LOAD_COST * loaded as f64 + IN_USE_COST * busy;
             changes.push((gained as f64 - cost, layers));
         }
         changes
     }
 
-    /// Whether what is in use fits beside other layers; what is preempted
-    /// would have to be read again.
-    fn fits(&self, place: &EndpointState, layers: Layers) -> bool {
-        place.used <= self.engine.capacity(&place.card, layers.count())
+    /// Whether the KV cache in use fits beside `layers`. Preempted requests would
+    /// have to repeat their prefill.
+    fn fits(&self, endpoint: &EndpointState, layers: Layers) -> bool {
+        endpoint.used <= self.engine.capacity(&endpoint.card, layers.count())
     }
 
-    /// Whether holding `next` instead leaves a layer without a holder.
-    fn uncovers(&self, place: &EndpointState, next: Layers) -> bool {
-        let Some(now) = place.layers else { return false };
-        let own = self.tokens_of(place, now);
+    /// Whether holding `next` instead would leave a layer without a holder.
+    fn opens_gap(&self, endpoint: &EndpointState, next: Layers) -> bool {
+        let Some(now) = endpoint.layers else { return false };
+        let own = self.capacity_of(endpoint, now);
         let given_up = range(now).filter(|layer| !range(next).contains(layer));
-        given_up.into_iter().any(|layer| self.tokens[layer] - own < 1.0)
+        given_up.into_iter().any(|layer| self.capacity[layer] - own < 1.0)
     }
 }
 
-/// Every range of `least` to `most` layers.
-fn ranges(least: u16, most: u16, whole: u16) -> impl Iterator<Item = Layers> {
-    let starts = move |count: u16| (0..=whole.saturating_sub(count)).map(move |s| (s, s + count));
+/// Every range of `least` to `most` consecutive layers of a model of `total`.
+fn ranges(least: u16, most: u16, total: u16) -> impl Iterator<Item = Layers> {
+    let starts = move |count: u16| (0..=total.saturating_sub(count)).map(move |s| (s, s + count));
     (least..=most).flat_map(starts).filter_map(|range| Layers::try_from(range).ok())
 }
 
