--- a/mimosashift/src/fleet/chain.rs
+++ b/mimosashift/src/fleet/chain.rs
@@ -1,8 +1,9 @@
-//! Chooses the chain of layers for a request.
+//! Chooses the chain of endpoints for a request to a model.
 //!
-//! A shortest path over (layer, endpoint): each layer costs the time that the
-//! endpoint takes for it, more the fuller its memory, and each change of
-//! endpoint costs a wait there and the way. See `docs/design/fleet.md`.
+//! This is a shortest path over (layer, endpoint) pairs. A layer costs the time
+//! that the endpoint takes for it, which grows as its KV cache fills up; a change
+//! of endpoint costs the queueing time there and the transfer. See
+//! `docs/design/fleet.md`.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,85 +15,86 @@
 use crate::resource::Layers;
 use crate::time::Instant;
 
-/// Share of an endpoint's KV cache that admitted requests may be expected to
-/// use; the rest is for requests that write more than expected.
-const CACHE_SHARE: f64 = 0.95;
+/// Share of an endpoint's KV cache that admitted requests may be expected to use;
+/// the rest is headroom for requests that write more tokens than expected.
+const USABLE_CACHE_SHARE: f64 = 0.95;
 
-/// Copies of the model in a zone from which its layers mostly have more than
-/// one holder.
-const SPREAD_COPIES: f64 = 1.6;
+/// Copies of the model in a zone from which most of its layers have more than one
+/// holder.
+const MIN_SPREAD_COPIES: f64 = 1.6;
 
-/// Most parts of a chain that engines accept.
+/// Longest chain that engines accept, in hops.
 const MAX_HOPS: usize = 32;
 
-/// Cost of a chain that begins in another zone, in ms: a fraction of what a
-/// chain costs. Without it all routers choose the zone that seems least used,
-/// from digests that are some hundred milliseconds old.
-const ENTRY_MS: f64 = 500.0;
+/// Cost of a chain that begins in another zone, in ms; a fraction of the cost of a
+/// chain. Without it all routers would choose the zone that seems least loaded in
+/// digests that are some hundred milliseconds old.
+const REMOTE_ENTRY_MS: f64 = 500.0;
 
-/// Weight of a transfer between zones against time at an endpoint: all chains
-/// share the pipe, which binds before the endpoints do, and a chain of two
-/// zones ends when either is cut off.
-const PIPE_WEIGHT: f64 = 150.0;
+/// Weight of the transfer time between zones relative to time at an endpoint. It
+/// is high because all chains share the link between zones, which saturates before
+/// the endpoints do, and because a chain over two zones fails when either becomes
+/// unreachable.
+const CROSS_ZONE_WEIGHT: f64 = 150.0;
 
-/// Fill of the cache from which an endpoint costs no more than this.
-const MAX_COUNTED_FILL: f64 = 0.95;
+/// Upper bound on the fill level of the KV cache in the cost of an endpoint.
+const MAX_COST_FILL: f64 = 0.95;
 
 /// What a request needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// Tokens to read.
+    /// Tokens of the prompt.
     pub prompt: f64,
-    /// Tokens that it is expected to write.
+    /// Tokens that it is expected to generate.
     pub output: f64,
 }
 
-/// For what a chain is wanted.
+/// Parameters of the choice of a chain.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
     /// The service.
     pub service: &'a str,
-    /// Figures of its engines.
+    /// Parameters of its engines.
     pub engine: &'a Engine,
     /// The zone in which the request arrived.
     pub zone: &'a str,
     /// What the request needs.
     pub demand: &'a Demand,
-    /// The first part of a chain that has begun, which it keeps.
+    /// First hop of a chain in progress, which is kept.
     pub first: Option<&'a Hop>,
-    /// Endpoints to leave out.
+    /// Hops whose endpoints are excluded.
     pub avoid: &'a [Hop],
 }
 
-/// Why there is no chain.
+/// Reason why no chain was found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Shortage {
-    /// No endpoint that may be used holds this layer.
+    /// No usable endpoint holds this layer.
     Uncovered(u16),
-    /// The endpoints that hold this layer have no memory or slot free.
+    /// The endpoints that hold this layer have no free memory or slot.
     Full(u16),
 }
 
-/// An endpoint as a part of chains.
+/// An endpoint that can be a hop of the chain.
 struct Candidate<'a> {
     member: &'a Member,
     layers: Layers,
-    /// Share of its KV cache in use.
+    /// Share of its KV cache in use, at most `MAX_COST_FILL`.
     fill: f64,
     /// Cost of each layer, in ms.
     layer_ms: f64,
-    /// Cost of passing through it at all, in ms.
+    /// Fixed cost of a hop through it, in ms.
     hop_ms: f64,
-    /// Layers for which it has memory.
-    room: u16,
-    /// Whether it takes requests from routers.
+    /// Layers for which it has memory for this request.
+    free_layers: u16,
+    /// Whether it has a free slot, which the first hop of a chain needs.
     has_slot: bool,
 }
 
-/// Makes full endpoints dearer in zones that hold most layers more than once,
-/// so that requests go to the other holders before a cache overflows. Where
-/// there are no others it would only drive chains into other zones.
-fn spread(candidates: &mut [Candidate<'_>], engine: &Engine) {
+/// Raises the cost of full endpoints in zones that hold most layers more than once,
+/// so that requests go to the other holders before a KV cache overflows. Without
+/// other holders it would only push chains into other zones.
+fn penalize_fill(candidates: &mut [Candidate<'_>], engine: &Engine) {
     let mut held: HashMap<Arc<str>, u32> = HashMap::new();
     for candidate in candidates.iter() {
         let zone = candidate.member.endpoint.zone.clone();
@@ -100,46 +102,46 @@
     }
     for candidate in candidates {
         let copies = f64::from(held[&candidate.member.endpoint.zone]) / f64::from(engine.layers);
-        if copies >= SPREAD_COPIES {
+        if copies >= MIN_SPREAD_COPIES {
             candidate.layer_ms /= 1.0 - candidate.fill;
         }
     }
 }
 
-/// The best way to a layer that ends at one endpoint.
+/// The cheapest path to a layer that ends at one endpoint.
 #[derive(Clone, Copy)]
-struct Best {
+struct Path {
     cost: f64,
-    /// First layer at this endpoint.
+    /// First layer that this endpoint runs.
     start: u16,
-    /// The candidate before it, if any.
-    before: Option<u16>,
+    /// The preceding candidate, if any.
+    previous: Option<u16>,
 }
 
 impl Demand {
-    /// Tokens that are in memory on the average while it runs.
+    /// Average number of its tokens in the KV cache while it runs.
     pub fn tokens(&self) -> f64 {
         self.prompt + self.output / 2.0
     }
 }
 
 impl Fleet {
-    /// The chain for a request.
+    /// Chooses the chain for a request.
     pub fn chain(&self, query: &Query<'_>, now: Instant) -> Result<Chain, Shortage> {
-        let search = |doubted: bool| {
+        let search = |include_ejected: bool| {
             let usable = |member: &&Member| {
                 &*member.endpoint.service == query.service
-                    && (member.is_usable(now) || doubted && member.is_alive())
+                    && (member.is_usable(now) || include_ejected && member.is_alive())
                     && !query.avoid.iter().any(|hop| hop.id == member.endpoint.id)
             };
             let members = self.members.values().filter(usable);
             let mut candidates: Vec<_> =
                 members.filter_map(|member| Candidate::new(member, query, now)).collect();
-            spread(&mut candidates, query.engine);
+            penalize_fill(&mut candidates, query.engine);
             Search { query, candidates, table: Vec::new() }.run()
         };
         match search(false) {
-            // An endpoint that failed lately is better than none.
+            // An ejected or slow endpoint is better than none.
             Err(Shortage::Uncovered(_)) => search(true),
             found => found,
         }
@@ -147,7 +149,7 @@
 }
 
 impl Shortage {
-    /// The layer that is short.
+    /// The layer that is uncovered or full.
     pub const fn layer(&self) -> u16 {
         match self {
             Self::Uncovered(layer) | Self::Full(layer) => *layer,
@@ -160,26 +162,26 @@
         let Query { engine, demand, .. } = query;
         let layers = member.endpoint.layers?;
         let card = engine.card(&member.endpoint)?;
-        let whole = f64::from(engine.layers);
+        let layer_count = f64::from(engine.layers);
         let capacity = engine.capacity(card, layers.count());
         let usage = member.usage();
-        let fill = (f64::from(usage.cache) / capacity.max(1.0)).min(MAX_COUNTED_FILL);
-        let is_crowded = now < member.crowded_until;
-        let room = if is_crowded { 0.0 } else { capacity * CACHE_SHARE };
-        let free = (room - f64::from(usage.cache)).max(0.0);
+        let fill = (f64::from(usage.cache) / capacity.max(1.0)).min(MAX_COST_FILL);
+        let is_cache_full = now < member.cache_full_until;
+        let usable = if is_cache_full { 0.0 } else { capacity * USABLE_CACHE_SHARE };
+        let free = (usable - f64::from(usage.cache)).max(0.0);
         let read_ms = card.read_factor / engine.read_per_ms * member.pace;
         let step_ms = engine.step_ms * card.pace * member.pace;
         let work_ms = demand.prompt * read_ms + demand.output * step_ms;
-        let pass_ms = f64::from(engine.stride) * step_ms * f64::from(layers.count()) / whole;
+        let pass_ms = f64::from(engine.stride) * step_ms * f64::from(layers.count()) / layer_count;
         let passes = demand.output / f64::from(engine.stride);
         Some(Self {
             member,
             layers,
             fill,
-            layer_ms: work_ms / whole / (1.0 - fill),
-            // Work arrives in the middle of a pass on the average.
-            hop_ms: passes * pass_ms / 2.0 + f64::from(usage.prefill) * read_ms / whole,
-            room: (free / demand.tokens().max(1.0)).min(whole) as u16,
+            layer_ms: work_ms / layer_count / (1.0 - fill),
+            // On average a request waits for half a pass.
+            hop_ms: passes * pass_ms / 2.0 + f64::from(usage.prefill) * read_ms / layer_count,
+            free_layers: (free / demand.tokens().max(1.0)).min(layer_count) as u16,
             has_slot: usage.requests < engine.slots,
         })
     }
@@ -194,7 +196,7 @@
             id: endpoint.id.clone(),
             address: endpoint.address,
             incarnation: endpoint.incarnation,
-            layers: Layers::try_from((start, end)).expect("a part has a layer"),
+            layers: Layers::try_from((start, end)).expect("a hop has at least one layer"),
         }
     }
 }
@@ -202,8 +204,8 @@
 struct Search<'a> {
     query: &'a Query<'a>,
     candidates: Vec<Candidate<'a>>,
-    /// By layer, the best way to each candidate that holds it.
-    table: Vec<SmallVec<[(u16, Best); 8]>>,
+    /// For each layer, the cheapest path to each candidate that holds it.
+    table: Vec<SmallVec<[(u16, Path); 8]>>,
 }
 
 impl Search<'_> {
@@ -211,137 +213,141 @@
         let from = match self.query.first {
             None => 0,
             Some(hop) => {
-                self.fix(hop);
+                self.keep_first(hop);
                 hop.layers.end()
             }
         };
         for layer in from..self.query.engine.layers {
-            let ways = self.layer(layer);
-            if ways.is_empty() {
+            let paths = self.paths_to(layer);
+            if paths.is_empty() {
                 let held = self.candidates.iter().any(|c| c.holds(layer));
                 return Err(if held { Shortage::Full(layer) } else { Shortage::Uncovered(layer) });
             }
-            self.table.push(ways);
+            self.table.push(paths);
         }
         self.chain()
     }
 
-    /// Enters the first part of a chain that has begun.
-    fn fix(&mut self, hop: &Hop) {
-        let place = self.candidates.iter().position(|c| c.member.endpoint.id == hop.id);
-        // A first part that is no candidate any more still runs the request.
-        let index = place.map_or(u16::MAX, |place| place as u16);
+    /// Enters the kept first hop into the table.
+    fn keep_first(&mut self, hop: &Hop) {
+        let position = self.candidates.iter().position(|c| c.member.endpoint.id == hop.id);
+        // A first hop that is no longer a candidate still runs the request.
+        let index = position.map_or(u16::MAX, |position| position as u16);
         for _ in 0..hop.layers.end() {
-            let best = Best { cost: 0.0, start: 0, before: None };
+            let best = Path { cost: 0.0, start: 0, previous: None };
             self.table.push(SmallVec::from_iter([(index, best)]));
         }
     }
 
-    /// The best ways to `layer`, from those to the layer before.
-    fn layer(&self, layer: u16) -> SmallVec<[(u16, Best); 8]> {
-        let mut ways = SmallVec::new();
+    /// The cheapest paths to `layer`, derived from those to the previous layer.
+    fn paths_to(&self, layer: u16) -> SmallVec<[(u16, Path); 8]> {
+        let mut paths = SmallVec::new();
         for (index, candidate) in self.candidates.iter().enumerate() {
-            if !candidate.holds(layer) || candidate.room == 0 {
+            if !candidate.holds(layer) || candidate.free_layers == 0 {
                 continue;
             }
             let index = index as u16;
             let best = if layer == 0 {
                 self.begin(candidate)
             } else {
-                self.reach(layer, index, candidate)
+                self.extend(layer, index, candidate)
             };
-            ways.extend(best.map(|best| (index, best)));
+            paths.extend(best.map(|best| (index, best)));
         }
-        ways
+        paths
     }
 
-    fn begin(&self, candidate: &Candidate<'_>) -> Option<Best> {
-        let near = &*candidate.member.endpoint.zone == self.query.zone;
-        let entry_ms = if near { 0.0 } else { ENTRY_MS };
+    /// The path that begins at a candidate, if it has a free slot.
+    fn begin(&self, candidate: &Candidate<'_>) -> Option<Path> {
+        let is_local = &*candidate.member.endpoint.zone == self.query.zone;
+        let entry_ms = if is_local { 0.0 } else { REMOTE_ENTRY_MS };
         let cost = entry_ms + candidate.hop_ms + candidate.layer_ms;
-        candidate.has_slot.then_some(Best { cost, start: 0, before: None })
+        candidate.has_slot.then_some(Path { cost, start: 0, previous: None })
     }
 
-    fn reach(&self, layer: u16, index: u16, candidate: &Candidate<'_>) -> Option<Best> {
-        let mut best: Option<Best> = None;
-        for (before, way) in &self.table[usize::from(layer) - 1] {
-            let next = if *before == index {
-                let fixed = self.query.first.is_some_and(|hop| layer == hop.layers.end());
-                if fixed || layer - way.start >= candidate.room {
+    /// The cheapest path to `layer` at a candidate.
+    fn extend(&self, layer: u16, index: u16, candidate: &Candidate<'_>) -> Option<Path> {
+        let mut best: Option<Path> = None;
+        for (previous, path) in &self.table[usize::from(layer) - 1] {
+            let next = if *previous == index {
+                let is_kept = self.query.first.is_some_and(|hop| layer == hop.layers.end());
+                if is_kept || layer - path.start >= candidate.free_layers {
                     continue;
                 }
-                Best { cost: way.cost + candidate.layer_ms, ..*way }
+                Path { cost: path.cost + candidate.layer_ms, ..*path }
             } else {
-                let cost = way.cost + self.change_ms(*before, candidate) + candidate.layer_ms;
-                Best { cost, start: layer, before: Some(*before) }
+                let cost = path.cost + self.change_ms(*previous, candidate) + candidate.layer_ms;
+                Path { cost, start: layer, previous: Some(*previous) }
             };
-            let better = best.as_ref().is_none_or(|best| next.cost < best.cost);
-            if better && (*before == index || !self.passes(layer - 1, *before, index)) {
+            let is_cheaper = best.as_ref().is_none_or(|best| next.cost < best.cost);
+            if is_cheaper && (*previous == index || !self.passes(layer - 1, *previous, index)) {
                 best = Some(next);
             }
         }
         best
     }
 
-    /// Whether the best way to (`layer`, `at`) passes through `index`.
+    /// Whether the cheapest path to (`layer`, `at`) passes through `index`.
     fn passes(&self, layer: u16, at: u16, index: u16) -> bool {
         let (mut layer, mut at) = (layer, at);
         loop {
             if at == index {
                 return true;
             }
-            let best = self.best(layer, at);
-            let Some(before) = best.before else { return false };
-            (layer, at) = (best.start - 1, before);
+            let best = self.path(layer, at);
+            let Some(previous) = best.previous else { return false };
+            (layer, at) = (best.start - 1, previous);
         }
     }
 
-    fn best(&self, layer: u16, at: u16) -> Best {
-        let ways = &self.table[usize::from(layer)];
-        let way = ways.iter().find(|(index, _)| *index == at);
-        way.expect("a way leads over entered ones").1
+    fn path(&self, layer: u16, at: u16) -> Path {
+        let paths = &self.table[usize::from(layer)];
+        let path = paths.iter().find(|(index, _)| *index == at);
+        path.expect("a path consists of entries of the table").1
     }
 
-    /// Cost of going on at another endpoint.
-    fn change_ms(&self, before: u16, to: &Candidate<'_>) -> f64 {
-        let from = self.candidates.get(usize::from(before));
+    /// Cost of a change from one endpoint to another.
+    fn change_ms(&self, previous: u16, to: &Candidate<'_>) -> f64 {
+        let from = self.candidates.get(usize::from(previous));
         let zones = from.map(|from| (&from.member.endpoint.zone, &to.member.endpoint.zone));
-        let way_ms = match zones {
-            Some((from, to)) if from != to => self.crossing_ms(from, to),
+        let transfer_ms = match zones {
+            Some((from, to)) if from != to => self.cross_zone_ms(from, to),
             _ => 0.0,
         };
-        to.hop_ms + way_ms
+        to.hop_ms + transfer_ms
     }
 
-    fn crossing_ms(&self, from: &str, to: &str) -> f64 {
+    /// Cost of the transfer between two zones.
+    fn cross_zone_ms(&self, from: &str, to: &str) -> f64 {
         let tokens = self.query.demand.prompt + self.query.demand.output;
         let bytes = tokens * self.query.engine.activation_bytes;
-        let pipe_ms = if self.query.engine.pipe_per_ms > 0.0 {
+        let transfer_ms = if self.query.engine.pipe_per_ms > 0.0 {
             bytes / self.query.engine.pipe_per_ms
         } else {
             0.0
         };
-        PIPE_WEIGHT * pipe_ms + self.query.demand.output * self.query.engine.delay_ms(from, to)
+        CROSS_ZONE_WEIGHT * transfer_ms
+            + self.query.demand.output * self.query.engine.delay_ms(from, to)
     }
 
     fn chain(&self) -> Result<Chain, Shortage> {
         let last = self.query.engine.layers - 1;
-        let ways = &self.table[usize::from(last)];
-        let cheapest = ways.iter().min_by(|a, b| a.1.cost.total_cmp(&b.1.cost));
-        let (mut at, _) = *cheapest.expect("every layer has a way");
+        let paths = &self.table[usize::from(last)];
+        let cheapest = paths.iter().min_by(|a, b| a.1.cost.total_cmp(&b.1.cost));
+        let (mut at, _) = *cheapest.expect("every layer has a path");
         let (mut layer, mut end) = (last, self.query.engine.layers);
         let mut chain = Chain::new();
         loop {
-            let best = self.best(layer, at);
+            let best = self.path(layer, at);
             match self.candidates.get(usize::from(at)) {
                 Some(candidate) if best.start > 0 || self.query.first.is_none() => {
                     chain.push(candidate.hop(best.start, end));
                 }
                 _ => chain.extend(self.query.first.cloned()),
             }
-            let Some(before) = best.before else { break };
+            let Some(previous) = best.previous else { break };
             end = best.start;
-            (layer, at) = (best.start - 1, before);
+            (layer, at) = (best.start - 1, previous);
         }
         chain.reverse();
         if chain.len() > MAX_HOPS {
--- a/mimosashift/src/fleet/claim.rs
+++ b/mimosashift/src/fleet/claim.rs
@@ -1,87 +1,88 @@
-//! What requests use of the endpoints of their chains.
+//! Accounting of the endpoint resources that requests use.
 
 use smallvec::SmallVec;
 
 use super::{Chain, Demand, Fleet, Usage};
 
-/// Tokens by which a claim grows at least, so that not every event counts.
-const GROWTH_TOKENS: f32 = 64.0;
+/// Smallest growth of a claim, in tokens, so that not every event updates it.
+const MIN_GROWTH_TOKENS: f32 = 64.0;
 
-/// A request's use of its chain, to be released once.
+/// Resources that a request uses on its chain; must be released exactly once.
 #[derive(Debug)]
 pub struct Claim {
     /// The chain.
     pub chain: Chain,
     tokens: f32,
     prompt: f32,
-    /// Whether each part still has to read what it keeps in memory.
-    reading: SmallVec<[bool; 12]>,
-    begun: bool,
+    /// For each hop, whether its prefill is pending.
+    prefill: SmallVec<[bool; 12]>,
+    started: bool,
 }
 
 impl Fleet {
-    /// Counts a request's use of its chain.
+    /// Claims resources on a chain for a request.
     pub fn claim(&mut self, chain: Chain, demand: &Demand) -> Claim {
         let (tokens, prompt) = (demand.tokens() as f32, demand.prompt as f32);
-        let reading = chain.iter().map(|_| true).collect();
-        let claim = Claim { chain, tokens, prompt, reading, begun: false };
-        self.count(&claim, true);
+        let prefill = chain.iter().map(|_| true).collect();
+        let claim = Claim { chain, tokens, prompt, prefill, started: false };
+        self.account(&claim, true);
         claim
     }
 
-    /// Notes that an event has come, so that every part has read its tokens.
+    /// Records that an event arrived, which means that every hop has finished its
+    /// prefill.
     pub fn finish_prefill(&mut self, claim: &mut Claim) {
-        if !claim.begun || claim.reading.contains(&true) {
-            self.count(claim, false);
-            claim.begun = true;
-            claim.reading.fill(false);
-            self.count(claim, true);
+        if !claim.started || claim.prefill.contains(&true) {
+            self.account(claim, false);
+            claim.started = true;
+            claim.prefill.fill(false);
+            self.account(claim, true);
         }
     }
 
-    /// Counts what a request has written beyond what was expected.
+    /// Raises a claim whose request has written more tokens than expected.
     pub fn grow(&mut self, claim: &mut Claim, written: f32) {
-        if claim.prompt + written > claim.tokens + GROWTH_TOKENS {
-            self.count(claim, false);
+        if claim.prompt + written > claim.tokens + MIN_GROWTH_TOKENS {
+            self.account(claim, false);
             claim.tokens = claim.prompt + written;
-            self.count(claim, true);
+            self.account(claim, true);
         }
     }
 
-    /// Moves a claim to another chain, whose new parts read all tokens.
+    /// Moves a claim to another chain, whose new hops have to prefill all tokens.
     pub fn reroute(&mut self, claim: &mut Claim, chain: Chain) {
-        self.count(claim, false);
-        claim.reading = chain.iter().map(|hop| !claim.chain.contains(hop)).collect();
+        self.account(claim, false);
+        claim.prefill = chain.iter().map(|hop| !claim.chain.contains(hop)).collect();
         claim.chain = chain;
-        self.count(claim, true);
+        self.account(claim, true);
     }
 
-    /// Gives a claim back.
+    /// Releases a claim.
     pub fn release(&mut self, claim: &Claim) {
-        self.count(claim, false);
+        self.account(claim, false);
     }
 
-    /// Adds a claim to what its endpoints are used for, or takes it away.
-    fn count(&mut self, claim: &Claim, adds: bool) {
-        for (place, hop) in claim.chain.iter().enumerate() {
+    /// Adds a claim to the usage of its endpoints, or subtracts it.
+    fn account(&mut self, claim: &Claim, add: bool) {
+        for (index, hop) in claim.chain.iter().enumerate() {
             let layers = f32::from(hop.layers.count());
             let usage = Usage {
                 cache: claim.tokens * layers,
-                prefill: if claim.reading[place] { claim.prompt * layers } else { 0.0 },
-                requests: u32::from(place == 0),
+                prefill: if claim.prefill[index] { claim.prompt * layers } else { 0.0 },
+                requests: u32::from(index == 0),
             };
             let Some(member) = self.members.get_mut(&hop.id) else { continue };
-            // Work at an earlier start of the endpoint is gone with it.
+            // The usage of an earlier incarnation was dropped at the restart.
             if member.endpoint.incarnation != hop.incarnation {
                 continue;
             }
-            let passing = u32::from(claim.begun);
-            if adds {
-                member.own.add(&usage);
-                member.passing += passing;
+            let streams = u32::from(claim.started);
+            if add {
+                member.own_usage.add(&usage);
+                member.active_streams += streams;
             } else {
-                member.own.subtract(&usage);
-                member.passing = member.passing.saturating_sub(passing);
+                member.own_usage.subtract(&usage);
+                member.active_streams = member.active_streams.saturating_sub(streams);
             }
         }
     }
--- a/mimosashift/src/fleet/holder.rs
+++ b/mimosashift/src/fleet/describe.rs
@@ -6,8 +6,9 @@
 use crate::time::Instant;
 
 impl Fleet {
-    /// Every endpoint that holds a layer, how full it is and why it gets no
-    /// new work, as in `i-1 0.97, i-2 0.40 doubted`.
+    /// Every endpoint that holds a layer, with the share of its KV cache in use and
+    /// the reason why it gets no new work, as in `i-1 0.97, i-2 0.40 doubted`. The
+    /// words `doubted` and `crowded` match the titles of the events.
     pub fn describe_holders(&self, query: &Query<'_>, layer: u16, now: Instant) -> String {
         let holds = |member: &&Member| {
             let layers = member.endpoint.layers;
@@ -21,19 +22,20 @@
             let capacity = query.engine.card(endpoint).map(|c| query.engine.capacity(c, count));
             let fill = capacity.map(|capacity| member.cache() / capacity.max(1.0));
             let fill = fill.map_or_else(|| "card unknown".to_owned(), |fill| format!("{fill:.2}"));
-            let comma = if text.is_empty() { "" } else { ", " };
+            let separator = if text.is_empty() { "" } else { ", " };
             let state = if !member.takes_work() {
                 " leaving"
-            } else if now < member.doubted_until {
+            } else if now < member.ejected_until {
                 " doubted"
-            } else if now < member.crowded_until {
+            } else if now < member.cache_full_until {
                 " crowded"
             } else if member.is_slow() {
                 " slow"
             } else {
                 ""
             };
-            write!(text, "{comma}{} {fill}{state}", endpoint.id).expect("text takes any writing");
+            write!(text, "{separator}{} {fill}{state}", endpoint.id)
+                .expect("writing to a string does not fail");
         }
         text
     }
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! What the router believes of the endpoints, and which of them a request
-//! gets: a chain of layers for a model, one endpoint for a plain service.
+//! The router's view of the endpoints, and the choice of endpoints for requests:
+//! a chain of endpoints for a model, one endpoint for a plain service.
 //!
-//! Beliefs come from the directory, from this router's own work, from peers'
-//! digests and from reports. See `docs/design/fleet.md`.
+//! The view is built from the directory, this router's own requests, the peers'
+//! digests and endpoint reports. See `docs/design/fleet.md`.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -20,113 +20,113 @@
 
 mod chain;
 mod claim;
-mod holder;
+mod describe;
+mod liveness;
 mod plain;
-mod vitals;
 
 pub use chain::{Demand, Query, Shortage};
 pub use claim::Claim;
 
-/// Pace from which an endpoint gets no new work while others hold its layers:
-/// every token of every stream through it waits for it.
+/// Pace from which an endpoint gets no new work while others hold its layers,
+/// because it delays every token of every stream that passes through it.
 const SLOW_PACE: f64 = 6.0;
 
-/// Difference in pace that peers are told.
+/// Smallest change in pace that is announced to peers.
 const PACE_STEP: f64 = 0.25;
 
-/// Time after which a digest of a peer no longer counts: several intervals.
-const PEER_LIFE: Duration = Duration::from_secs(3);
+/// Time after which a peer's digest expires: several digest intervals.
+const PEER_DIGEST_TTL: Duration = Duration::from_secs(3);
 
-/// A part of a chain: an endpoint and the layers it runs.
+/// One hop of a chain: an endpoint and the layers that it runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hop {
     /// The endpoint.
     pub id: Arc<str>,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// The start of the endpoint that is meant.
+    /// Incarnation of the endpoint, which changes with each restart.
     pub incarnation: u64,
     /// Layers that it runs.
     pub layers: Layers,
 }
 
-/// The endpoints of one request, in order of layers.
+/// The hops of one request, in layer order.
 pub type Chain = SmallVec<[Hop; 12]>;
 
-/// What requests use of one endpoint.
+/// Resources of one endpoint that requests use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// KV cache, tokens x layers.
     pub cache: f32,
-    /// Prompts that have not been read yet, tokens x layers.
+    /// Pending prefill, tokens x layers.
     pub prefill: f32,
-    /// Requests that it received from a router.
+    /// Requests that routers sent to it, as the first hop.
     pub requests: u32,
 }
 
-/// An endpoint and what is believed of it.
+/// An endpoint and its state as seen by this router.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its entry in the directory.
+    /// Its directory entry.
     pub endpoint: Endpoint,
-    /// Use by this router.
-    own: Usage,
-    /// Use by all peers.
-    peers: Usage,
-    /// How many times slower than its card it reports to be.
+    /// Usage by this router.
+    own_usage: Usage,
+    /// Usage by all peers.
+    peer_usage: Usage,
+    /// Reported slowdown relative to the nominal speed of its card; 1 is nominal.
     pace: f64,
-    /// Heartbeat of the entry that a report overrides: an entry that is as old
-    /// still shows the layers from before it.
+    /// Heartbeat of the directory entry that the latest report overrides. An entry
+    /// with the same heartbeat still lists the layers from before the report.
     reported_at: Option<u64>,
-    /// When it was last observed, by this router or a peer.
-    observed: Instant,
-    /// Last time that work that passes through it made progress.
-    progress: Instant,
+    /// Time of the latest observation by this router or a peer.
+    observed_at: Instant,
+    /// Last time that a request passing through it made progress.
+    last_progress: Instant,
     /// Streams of this router that pass through it.
-    passing: u32,
-    /// When it was first found not to answer, if it has shown no life since.
+    active_streams: u32,
+    /// When it was first found unresponsive, if it has not responded since.
     dead_since: Option<Instant>,
-    /// It is left out until then.
-    doubted_until: Instant,
-    /// It had no memory and gets no new work until then.
-    crowded_until: Instant,
-    /// How long that last was.
-    crowded_for: Duration,
-    /// Failures in a row.
-    strikes: u32,
+    /// It is ejected after a failure until then.
+    ejected_until: Instant,
+    /// It refused a request for lack of memory and gets no new work until then.
+    cache_full_until: Instant,
+    /// Length of the latest such period.
+    cache_full_for: Duration,
+    /// Consecutive failures.
+    consecutive_failures: u32,
     /// Share of recent answers that failed.
-    failures: f64,
-    /// When it came into sight, if it held layers then.
-    returned: Option<Instant>,
-    /// When its entry was first missing.
+    failure_rate: f64,
+    /// When it joined the directory, if it already held layers then.
+    reappeared_at: Option<Instant>,
+    /// When its directory entry was first missing.
     missing_since: Option<Instant>,
 }
 
-/// What changed when the directory was read.
+/// Changes found in a read of the directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DirectoryChange {
-    /// Endpoints that appeared or started anew.
+    /// Endpoints that appeared or restarted.
     pub joined: Vec<Arc<str>>,
-    /// Endpoints that began to leave.
+    /// Endpoints that started draining.
     pub leaving: Vec<Arc<str>>,
-    /// Endpoints that are gone.
+    /// Endpoints that were removed.
     pub gone: Vec<Arc<str>>,
-    /// Endpoints that hold other layers.
+    /// Endpoints whose layers changed.
     pub layers_changed: Vec<Arc<str>>,
 }
 
-/// What a report said of an endpoint.
+/// The state of an endpoint as given by one of its reports, for peers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Short name of the endpoint.
+    /// Key of the endpoint, see [`endpoint_key`].
     pub endpoint: u64,
     /// Its incarnation.
     pub incarnation: u64,
-    /// What it holds.
+    /// Layers that it holds.
     pub layers: Option<Layers>,
-    /// How many times slower than its card it is.
+    /// Slowdown relative to the nominal speed of its card; 1 is nominal.
     pub pace: f32,
-    /// How long ago that was.
+    /// Age of the report.
     pub age: Duration,
 }
 
@@ -135,11 +135,11 @@
 pub struct Fleet {
     members: BTreeMap<Arc<str>, Member>,
     digests: HashMap<Arc<str>, (Instant, HashMap<u64, Usage>)>,
-    /// Usual time between two events of a stream.
-    usual_pause: vitals::Pause,
+    /// Average time between two events of a stream.
+    mean_interval: liveness::EventInterval,
 }
 
-/// The short name of an endpoint in digests.
+/// Hash of an endpoint's id, which identifies it in digests.
 pub fn endpoint_key(id: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
@@ -170,91 +170,93 @@
 impl Member {
     fn new(endpoint: Endpoint, now: Instant) -> Self {
         Self {
-            returned: endpoint.layers.map(|_| now),
+            reappeared_at: endpoint.layers.map(|_| now),
             endpoint,
-            own: Usage::default(),
-            peers: Usage::default(),
+            own_usage: Usage::default(),
+            peer_usage: Usage::default(),
             pace: 1.0,
             reported_at: None,
-            observed: Instant::ZERO,
-            progress: now,
-            passing: 0,
+            observed_at: Instant::ZERO,
+            last_progress: now,
+            active_streams: 0,
             dead_since: None,
-            doubted_until: Instant::ZERO,
-            crowded_until: Instant::ZERO,
-            crowded_for: Duration::ZERO,
-            strikes: 0,
-            failures: 0.0,
+            ejected_until: Instant::ZERO,
+            cache_full_until: Instant::ZERO,
+            cache_full_for: Duration::ZERO,
+            consecutive_failures: 0,
+            failure_rate: 0.0,
             missing_since: None,
         }
     }
 
-    /// Takes in what a report said, newer than its entry; returns whether that
-    /// changed anything.
-    fn see(&mut self, seen: &Observation, now: Instant) -> bool {
-        let at = now - seen.age;
-        if self.endpoint.incarnation != seen.incarnation || at <= self.observed {
+    /// Applies an observation, which takes precedence over the directory entry;
+    /// returns whether anything changed.
+    fn apply(&mut self, observation: &Observation, now: Instant) -> bool {
+        let at = now - observation.age;
+        if self.endpoint.incarnation != observation.incarnation || at <= self.observed_at {
             return false;
         }
-        self.observed = at;
+        self.observed_at = at;
         if self.dead_since.is_some_and(|since| since < at) {
             self.dead_since = None;
         }
-        let pace = f64::from(seen.pace);
-        let changed = self.endpoint.layers != seen.layers || (self.pace - pace).abs() > PACE_STEP;
-        self.endpoint.layers = seen.layers;
+        let pace = f64::from(observation.pace);
+        let changed =
+            self.endpoint.layers != observation.layers || (self.pace - pace).abs() > PACE_STEP;
+        self.endpoint.layers = observation.layers;
         self.pace = pace;
         self.reported_at = Some(self.endpoint.heartbeat);
         changed
     }
 
-    /// Whether it takes new work, by what it says of itself.
+    /// Whether the directory lists it as ready for new work.
     pub fn takes_work(&self) -> bool {
         self.endpoint.standing == Standing::Ready && self.missing_since.is_none()
     }
 
-    /// Whether it takes new work and answered when it was last asked.
+    /// Whether it takes new work and is not marked dead.
     pub fn is_alive(&self) -> bool {
         self.takes_work() && self.dead_since.is_none()
     }
 
-    /// Whether it gets new work.
+    /// Whether it is preferred for new work: alive, not ejected and not slow.
     pub fn is_usable(&self, now: Instant) -> bool {
-        self.is_alive() && now >= self.doubted_until && !self.is_slow()
+        self.is_alive() && now >= self.ejected_until && !self.is_slow()
     }
 
-    /// Whether it is so slow that work is better refused than given to it.
+    /// Whether it is so slow that refusing a request is better than sending it
+    /// there.
     pub fn is_slow(&self) -> bool {
         self.pace >= SLOW_PACE
     }
 
-    /// Use by this router and its peers.
+    /// Usage by this router and its peers.
     fn usage(&self) -> Usage {
-        let mut usage = self.own;
-        usage.add(&self.peers);
+        let mut usage = self.own_usage;
+        usage.add(&self.peer_usage);
         usage
     }
 
-    /// The whole endpoint as a part of a chain; `None` while it holds nothing.
+    /// A hop with all layers of the endpoint; `None` while it holds none.
     pub fn hop(&self) -> Option<Hop> {
         let Endpoint { id, address, incarnation, layers, .. } = &self.endpoint;
         let (address, incarnation) = (*address, *incarnation);
         layers.map(|layers| Hop { id: id.clone(), address, incarnation, layers })
     }
 
-    /// Its short name and its incarnation.
+    /// Its key and its incarnation.
     pub fn key(&self) -> (u64, u64) {
         (endpoint_key(&self.endpoint.id), self.endpoint.incarnation)
     }
 
-    /// How many times slower than its card it reports to be.
+    /// Reported slowdown relative to the nominal speed of its card; 1 is nominal.
     pub const fn pace(&self) -> f64 {
         self.pace
     }
 
-    /// When it came into sight, if it held layers then.
+    /// When it joined the directory, if it already held layers then.
     pub const fn reappeared_at(&self) -> Option<Instant> {
-        self.returned
+        self.reappeared_at
     }
 
     /// KV cache in use, tokens x layers.
@@ -264,10 +266,10 @@
 }
 
 impl Fleet {
-    /// Takes in the directory as read at `now`.
+    /// Applies the directory as read at `now`.
     ///
-    /// Entries that are missing stay for as long as `lapsed_until` says: after
-    /// an outage of the store, endpoints need time to register again.
+    /// Endpoints without an entry are kept until `lapsed_until`: after an outage
+    /// of the store, endpoints need time to register again.
     pub fn apply_directory(
         &mut self,
         entries: Vec<Endpoint>,
@@ -278,7 +280,7 @@
         let mut listed = std::collections::HashSet::new();
         for entry in entries {
             listed.insert(entry.id.clone());
-            self.enter(entry, now, &mut change);
+            self.apply_entry(entry, now, &mut change);
         }
         let missing = self.members.iter_mut().filter(|(id, _)| !listed.contains(*id));
         for (id, member) in missing {
@@ -286,7 +288,7 @@
             if now >= lapsed_until {
                 change.gone.push(id.clone());
             } else {
-                // Known from before the outage: as usable as it was.
+                // Known from before the outage, so it stays usable.
                 member.missing_since = None;
             }
         }
@@ -296,7 +298,7 @@
         change
     }
 
-    fn enter(&mut self, entry: Endpoint, now: Instant, change: &mut DirectoryChange) {
+    fn apply_entry(&mut self, entry: Endpoint, now: Instant, change: &mut DirectoryChange) {
         let id = entry.id.clone();
         let Some(member) = self.members.get_mut(&id) else {
             change.joined.push(id.clone());
@@ -327,7 +329,7 @@
         member.endpoint = entry;
     }
 
-    /// Stands for the endpoints, their starts and whether they leave.
+    /// Hash of the endpoints, their incarnations and whether they are ready.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for member in self.members.values() {
@@ -352,42 +354,48 @@
         self.members.values().find(|member| member.endpoint.address == address)
     }
 
-    /// Takes in an endpoint's report; returns what changed for peers to know.
+    /// Applies an endpoint's report; returns an observation to send to peers if
+    /// anything changed.
     pub fn apply_report(&mut self, id: &str, report: &Report, now: Instant) -> Option<Observation> {
-        let seen = Observation {
+        let observation = Observation {
             age: Duration::ZERO,
             endpoint: endpoint_key(id),
             incarnation: report.incarnation,
             layers: report.layers,
             pace: report.pace.max(1.0) as f32,
         };
-        self.members.get_mut(id)?.see(&seen, now).then_some(seen)
+        self.members.get_mut(id)?.apply(&observation, now).then_some(observation)
     }
 
-    /// Takes in what a peer saw of an endpoint; returns its id if that changed
-    /// anything.
-    pub fn apply_observation(&mut self, seen: &Observation, now: Instant) -> Option<Arc<str>> {
-        let member =
-            self.members.values_mut().find(|m| endpoint_key(&m.endpoint.id) == seen.endpoint)?;
-        member.see(seen, now).then(|| member.endpoint.id.clone())
+    /// Applies a peer's observation; returns the endpoint's id if anything changed.
+    pub fn apply_observation(
+        &mut self,
+        observation: &Observation,
+        now: Instant,
+    ) -> Option<Arc<str>> {
+        let member = self
+            .members
+            .values_mut()
+            .find(|m| endpoint_key(&m.endpoint.id) == observation.endpoint)?;
+        member.apply(observation, now).then(|| member.endpoint.id.clone())
     }
 
-    /// What this router uses, for digests; only what is in use.
+    /// Usage by this router, for digests; unused endpoints are left out.
     pub fn digest(&self) -> Vec<(u64, Usage)> {
-        let used = self.members.values().filter(|member| member.own != Usage::default());
-        used.map(|member| (endpoint_key(&member.endpoint.id), member.own)).collect()
+        let used = self.members.values().filter(|member| member.own_usage != Usage::default());
+        used.map(|member| (endpoint_key(&member.endpoint.id), member.own_usage)).collect()
     }
 
-    /// Takes in a peer's use.
+    /// Replaces a peer's usage and drops expired digests.
     pub fn merge_digest(&mut self, peer: &Arc<str>, usage: &[(u64, Usage)], now: Instant) {
         self.digests.insert(peer.clone(), (now, usage.iter().copied().collect()));
-        self.digests.retain(|_, (at, _)| now.since(*at) < PEER_LIFE);
+        self.digests.retain(|_, (at, _)| now.since(*at) < PEER_DIGEST_TTL);
         for member in self.members.values_mut() {
             let key = endpoint_key(&member.endpoint.id);
-            member.peers = Usage::default();
+            member.peer_usage = Usage::default();
             for (_, digest) in self.digests.values() {
                 if let Some(usage) = digest.get(&key) {
-                    member.peers.add(usage);
+                    member.peer_usage.add(usage);
                 }
             }
         }
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Beliefs about endpoints, chains and plain endpoints.
+//! Tests of the endpoint state, the choice of chains and the choice of plain
+//! endpoints.
 
 use std::time::Duration;
 
@@ -16,7 +17,7 @@
     pub mod deployment;
 }
 
-const USUAL: Demand = Demand { prompt: 775.0, output: 220.0 };
+const DEMAND: Demand = Demand { prompt: 775.0, output: 220.0 };
 
 fn fleet(entries: Vec<Endpoint>) -> Fleet {
     let mut fleet = Fleet::default();
@@ -24,12 +25,12 @@
     fleet
 }
 
-/// Two zones with a whole copy each, in two halves.
+/// Two zones, each with a complete copy in two halves.
 fn two_zones() -> Vec<Endpoint> {
     let halves = [(1, "a", 0, 40), (2, "a", 40, 80), (3, "b", 0, 40), (4, "b", 40, 80)];
     let half = |(n, zone, from, to)| endpoint(n, zone, "large", Some(layers(from, to)));
     let mut entries: Vec<_> = halves.into_iter().map(half).collect();
-    // Halves of the model leave room on no real card.
+    // On the other cards half of the model leaves no memory for requests.
     entries.iter_mut().for_each(|e| e.card = Some("huge".into()));
     entries
 }
@@ -55,7 +56,7 @@
     chain.iter().map(|hop| &*hop.id).collect()
 }
 
-fn covers(chain: &Chain, whole: u16) -> bool {
+fn covers(chain: &Chain, total: u16) -> bool {
     let mut next = 0;
     for hop in chain {
         if hop.layers.start() != next {
@@ -63,13 +64,13 @@
         }
         next = hop.layers.end();
     }
-    next == whole
+    next == total
 }
 
 #[test]
 fn chain_runs_every_layer_once_and_stays_in_a_zone() {
     let fleet = fleet(two_zones());
-    let chain = choose(&fleet, &USUAL).unwrap();
+    let chain = choose(&fleet, &DEMAND).unwrap();
     assert!(covers(&chain, 80));
     assert!(ids(&chain) == ["e1", "e2"] || ids(&chain) == ["e3", "e4"], "{:?}", ids(&chain));
 }
@@ -78,43 +79,43 @@
 fn chain_begins_in_the_own_zone_while_it_has_room() {
     let mut fleet = fleet(two_zones());
     let begins = |fleet: &Fleet, zone| {
-        let chain = fleet.chain(&Query { zone, ..query(&huge(), &USUAL) }, at(100)).unwrap();
+        let chain = fleet.chain(&Query { zone, ..query(&huge(), &DEMAND) }, at(100)).unwrap();
         chain[0].id.to_string()
     };
     for _ in 0..20 {
         assert_eq!((begins(&fleet, "a"), begins(&fleet, "b")), ("e1".into(), "e3".into()));
-        drop(fleet.claim(choose(&fleet, &USUAL).unwrap(), &USUAL));
+        drop(fleet.claim(choose(&fleet, &DEMAND).unwrap(), &DEMAND));
     }
     while begins(&fleet, "a") == "e1" {
-        drop(fleet.claim(choose(&fleet, &USUAL).unwrap(), &USUAL));
+        drop(fleet.claim(choose(&fleet, &DEMAND).unwrap(), &DEMAND));
     }
-    assert!(choose(&fleet, &USUAL).is_ok(), "the other zone takes over before this one is full");
+    assert!(choose(&fleet, &DEMAND).is_ok(), "the other zone is used before this one is full");
 }
 
 #[test]
-fn lost_range_is_borrowed_from_another_zone() {
+fn failed_endpoint_is_replaced_by_one_of_another_zone() {
     let mut fleet = fleet(two_zones());
     fleet.record_failure("e2", at(50));
     fleet.record_failure("e3", at(50));
-    let chain = choose(&fleet, &USUAL).unwrap();
+    let chain = choose(&fleet, &DEMAND).unwrap();
     assert_eq!(ids(&chain), ["e1", "e4"]);
 }
 
 #[test]
-fn layer_without_endpoint_is_named() {
+fn uncovered_layer_is_reported() {
     let mut entries = two_zones();
     entries.retain(|entry| !["e2", "e4"].contains(&&*entry.id));
     let fleet = fleet(entries);
-    assert_eq!(choose(&fleet, &USUAL), Err(Shortage::Uncovered(40)));
+    assert_eq!(choose(&fleet, &DEMAND), Err(Shortage::Uncovered(40)));
 }
 
 #[test]
-fn load_spreads_until_memory_is_full() {
+fn load_is_balanced_until_memory_is_full() {
     let mut fleet = fleet(two_zones());
     let mut served = 0;
     let shortage = loop {
-        match choose(&fleet, &USUAL) {
-            Ok(chain) => drop(fleet.claim(chain, &USUAL)),
+        match choose(&fleet, &DEMAND) {
+            Ok(chain) => drop(fleet.claim(chain, &DEMAND)),
             Err(shortage) => break shortage,
         }
         served += 1;
@@ -129,43 +130,43 @@
 #[test]
 fn released_claims_leave_nothing_behind() {
     let mut fleet = fleet(two_zones());
-    let mut claim = fleet.claim(choose(&fleet, &USUAL).unwrap(), &USUAL);
+    let mut claim = fleet.claim(choose(&fleet, &DEMAND).unwrap(), &DEMAND);
     fleet.finish_prefill(&mut claim);
     fleet.release(&claim);
     assert!(fleet.digest().is_empty());
 }
 
 #[test]
-fn claims_at_an_earlier_start_are_not_taken_off_the_next() {
+fn claims_on_an_earlier_incarnation_are_not_subtracted_from_the_next() {
     let mut fleet = fleet(two_zones());
-    let chain = choose(&fleet, &USUAL).unwrap();
+    let chain = choose(&fleet, &DEMAND).unwrap();
     let first = chain[0].id.clone();
-    let claim = fleet.claim(chain, &USUAL);
+    let claim = fleet.claim(chain, &DEMAND);
     let mut entries = two_zones();
     let entry = entries.iter_mut().find(|entry| entry.id == first).unwrap();
     entry.incarnation = 2;
     fleet.apply_directory(entries, Instant::ZERO, at(100));
-    let next = fleet.claim(choose(&fleet, &USUAL).unwrap(), &USUAL);
+    let next = fleet.claim(choose(&fleet, &DEMAND).unwrap(), &DEMAND);
     fleet.release(&claim);
     fleet.release(&next);
     assert!(fleet.digest().is_empty(), "{:?}", fleet.digest());
 }
 
 #[test]
-fn started_chain_keeps_its_first_part() {
+fn chain_in_progress_keeps_its_first_hop() {
     let mut fleet = fleet(two_zones());
-    let chain = choose(&fleet, &USUAL).unwrap();
+    let chain = choose(&fleet, &DEMAND).unwrap();
     fleet.record_failure(&chain[1].id, at(50));
     let moved =
-        fleet.chain(&Query { first: Some(&chain[0]), ..query(&huge(), &USUAL) }, at(100)).unwrap();
+        fleet.chain(&Query { first: Some(&chain[0]), ..query(&huge(), &DEMAND) }, at(100)).unwrap();
     assert_eq!(moved[0], chain[0]);
     assert_ne!(moved[1].id, chain[1].id);
     assert!(covers(&moved, 80));
 }
 
 #[test]
-fn no_endpoint_stands_twice_in_a_chain() {
-    // The middle is fastest at e2 only, and the ends only at e1.
+fn no_endpoint_occurs_twice_in_a_chain() {
+    // e2 is fastest for the middle layers; only e1 holds the first ones.
     let entries = vec![
         endpoint(1, "a", "slow", Some(layers(0, 80))),
         endpoint(2, "a", "large", Some(layers(20, 60))),
@@ -174,7 +175,7 @@
     let mut engine = engine();
     engine.layer_mb = 100.0;
     let fleet = fleet(entries);
-    let chain = fleet.chain(&query(&engine, &USUAL), at(100)).unwrap();
+    let chain = fleet.chain(&query(&engine, &DEMAND), at(100)).unwrap();
     let mut names = ids(&chain);
     names.sort_unstable();
     names.dedup();
@@ -183,35 +184,35 @@
 }
 
 #[test]
-fn draining_endpoints_get_nothing() {
+fn draining_endpoints_get_no_work() {
     let mut entries = two_zones();
     entries[0].standing = Standing::Draining;
     let fleet = fleet(entries);
-    assert_eq!(ids(&choose(&fleet, &USUAL).unwrap())[0], "e3");
+    assert_eq!(ids(&choose(&fleet, &DEMAND).unwrap())[0], "e3");
 }
 
 #[test]
-fn part_is_silent_though_another_stream_passed_just_before_it_died() {
+fn hop_is_silent_though_another_stream_progressed_just_before_it_died() {
     let mut fleet = fleet(two_zones());
-    let chain = choose(&fleet, &USUAL).unwrap();
-    // This stream's last event came at 1,000, another one's at 1,030.
+    let chain = choose(&fleet, &DEMAND).unwrap();
+    // The last event of this stream was at 1,000 ms, that of another at 1,030 ms.
     fleet.record_progress(&chain, None, at(1_030));
     assert_eq!(fleet.silent(&chain, at(1_300)).len(), chain.len());
     assert!(fleet.silent(&chain, at(1_060)).is_empty());
 }
 
 #[test]
-fn missing_entry_stays_after_an_outage_of_the_store_and_then_goes() {
+fn missing_entry_is_kept_after_an_outage_of_the_store_and_then_removed() {
     let mut fleet = fleet(two_zones());
     let kept = fleet.apply_directory(Vec::new(), at(2_000), at(1_000));
     assert!(kept.gone.is_empty());
-    assert!(choose(&fleet, &USUAL).is_ok());
+    assert!(choose(&fleet, &DEMAND).is_ok());
     let gone = fleet.apply_directory(Vec::new(), at(2_000), at(2_000));
     assert_eq!(gone.gone.len(), 4);
 }
 
 #[test]
-fn entry_older_than_a_report_does_not_bring_back_its_layers() {
+fn entry_older_than_a_report_does_not_restore_its_layers() {
     let mut fleet = fleet(two_zones());
     let report = Report { incarnation: 1, layers: Some(layers(0, 50)), ..Report::default() };
     fleet.apply_report("e1", &report, at(5));
@@ -224,19 +225,19 @@
 }
 
 #[test]
-fn use_by_peers_counts_until_the_peer_is_silent() {
+fn peer_usage_counts_until_its_digest_expires() {
     let mut fleet = fleet(two_zones());
     let full = Usage { cache: 1e9, ..Usage::default() };
     let usage: Vec<_> =
         ["e1", "e2", "e3", "e4"].iter().map(|id| (endpoint_key(id), full)).collect();
     fleet.merge_digest(&"peer".into(), &usage, at(100));
-    assert_eq!(choose(&fleet, &USUAL), Err(Shortage::Full(0)));
+    assert_eq!(choose(&fleet, &DEMAND), Err(Shortage::Full(0)));
     fleet.merge_digest(&"other".into(), &[], at(10_000));
-    assert!(choose(&fleet, &USUAL).is_ok());
+    assert!(choose(&fleet, &DEMAND).is_ok());
 }
 
 #[test]
-fn plain_request_goes_to_the_least_loaded_and_not_to_a_failing_one() {
+fn plain_request_goes_to_the_least_loaded_endpoint_that_does_not_fail() {
     let mut fleet = fleet(vec![plain(1, "a"), plain(2, "b"), plain(3, "b")]);
     let first = fleet.choose_endpoint(PLAIN, "a", &[], at(10)).unwrap();
     assert_eq!(&*first.id, "e1");
@@ -248,18 +249,18 @@
 }
 
 #[test]
-fn doubted_endpoint_returns_and_is_doubted_for_longer() {
+fn ejected_endpoint_returns_and_is_ejected_for_longer() {
     let mut fleet = fleet(vec![plain(1, "a"), plain(2, "b")]);
-    let picked = |fleet: &Fleet, ms| fleet.choose_endpoint(PLAIN, "a", &[], at(ms)).unwrap().id;
+    let chosen = |fleet: &Fleet, ms| fleet.choose_endpoint(PLAIN, "a", &[], at(ms)).unwrap().id;
     fleet.record_failure("e1", at(0));
     fleet.record_answer("e1", true);
-    assert_eq!(&*picked(&fleet, 399), "e2");
-    // Once it may be used again, only its share of failures counts.
+    assert_eq!(&*chosen(&fleet, 399), "e2");
+    // After the ejection only its failure rate counts.
     fleet.record_failure("e2", at(390));
-    assert_eq!(&*picked(&fleet, 400), "e1");
+    assert_eq!(&*chosen(&fleet, 400), "e1");
     fleet.record_failure("e1", at(400));
     fleet.record_failure("e1", at(400));
-    assert_eq!(&*picked(&fleet, 1_199), "e2");
+    assert_eq!(&*chosen(&fleet, 1_199), "e2");
 }
 
 #[test]
@@ -270,7 +271,7 @@
     let mut fleet = fleet(two_zones());
     fleet.record_failure("e1", at(99));
     fleet.record_failure("e3", at(99));
-    assert!(choose(&fleet, &USUAL).is_ok());
+    assert!(choose(&fleet, &DEMAND).is_ok());
 }
 
 #[test]
@@ -280,38 +281,39 @@
         |layers| Report { incarnation: 1, layers: Some(layers), pace: 12.0, ..Report::default() };
     assert!(fleet.apply_report("e1", &slow(layers(0, 40)), at(1)).is_some());
     assert!(fleet.apply_report("e1", &slow(layers(0, 40)), at(2)).is_none(), "nothing changed");
-    assert_eq!(ids(&choose(&fleet, &USUAL).unwrap())[0], "e3");
+    assert_eq!(ids(&choose(&fleet, &DEMAND).unwrap())[0], "e3");
     fleet.apply_report("e3", &slow(layers(0, 40)), at(3));
-    assert!(choose(&fleet, &USUAL).is_ok());
+    assert!(choose(&fleet, &DEMAND).is_ok());
 }
 
-const SEEN: Observation =
+const OBSERVATION: Observation =
     Observation { endpoint: 0, incarnation: 1, layers: None, pace: 1.0, age: Duration::ZERO };
 
 #[test]
-fn what_a_peer_saw_counts_for_the_same_start_only() {
+fn peer_observation_applies_to_the_same_incarnation_only() {
     let mut fleet = fleet(two_zones());
-    let mut seen = Observation { endpoint: endpoint_key("e1"), incarnation: 2, ..SEEN };
-    assert_eq!(fleet.apply_observation(&seen, at(1)), None);
-    seen.incarnation = 1;
-    assert_eq!(fleet.apply_observation(&seen, at(1)).as_deref(), Some("e1"));
+    let mut observation =
+        Observation { endpoint: endpoint_key("e1"), incarnation: 2, ..OBSERVATION };
+    assert_eq!(fleet.apply_observation(&observation, at(1)), None);
+    observation.incarnation = 1;
+    assert_eq!(fleet.apply_observation(&observation, at(1)).as_deref(), Some("e1"));
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, None);
 }
 
 #[test]
-fn what_a_peer_saw_earlier_does_not_undo_a_report() {
+fn older_peer_observation_does_not_override_a_report() {
     let mut fleet = fleet(two_zones());
     let report = Report { incarnation: 1, layers: Some(layers(0, 50)), ..Report::default() };
     fleet.apply_report("e1", &report, at(1_000));
     let age = Duration::from_millis(100);
-    let seen = Observation { endpoint: endpoint_key("e1"), age, ..SEEN };
-    assert_eq!(fleet.apply_observation(&seen, at(1_050)), None, "seen at 950");
+    let observation = Observation { endpoint: endpoint_key("e1"), age, ..OBSERVATION };
+    assert_eq!(fleet.apply_observation(&observation, at(1_050)), None, "observed at 950 ms");
     assert_eq!(fleet.get("e1").unwrap().endpoint.layers, Some(layers(0, 50)));
-    assert!(fleet.apply_observation(&seen, at(1_150)).is_some(), "seen at 1,050");
+    assert!(fleet.apply_observation(&observation, at(1_150)).is_some(), "observed at 1,050 ms");
 }
 
 #[test]
-fn zone_is_left_out_when_many_of_its_endpoints_fail_and_nothing_passes() {
+fn zone_is_ejected_when_many_of_its_endpoints_fail_and_none_progresses() {
     let zone = |n, zone| endpoint(n, zone, "large", Some(layers(0, 10)));
     let entries: Vec<_> =
         (1..=12).map(|n| zone(n, "a")).chain((13..=24).map(|n| zone(n, "b"))).collect();
@@ -325,29 +327,29 @@
     assert_eq!(usable(&fleet), 12, "a quarter of the zone failed");
 }
 
-/// A fleet with streams that have begun, all over the same chain.
-fn passing(streams: usize) -> (Fleet, Chain) {
+/// A fleet with active streams, all on the same chain.
+fn with_active_streams(streams: usize) -> (Fleet, Chain) {
     let mut fleet = fleet(two_zones());
-    let chain = choose(&fleet, &USUAL).unwrap();
+    let chain = choose(&fleet, &DEMAND).unwrap();
     for _ in 0..streams {
-        let mut claim = fleet.claim(chain.clone(), &USUAL);
+        let mut claim = fleet.claim(chain.clone(), &DEMAND);
         fleet.finish_prefill(&mut claim);
     }
     (fleet, chain)
 }
 
 #[test_case(2, 300 => 0; "one or two streams may pause")]
-#[test_case(3, 100 => 0; "no longer than a stream pauses")]
-#[test_case(3, 130 => 2; "every part of the chain")]
-fn endpoints_in_use_that_fall_silent_are_found(streams: usize, silent_ms: u64) -> usize {
-    let (mut fleet, chain) = passing(streams);
+#[test_case(3, 100 => 0; "no longer than the usual interval")]
+#[test_case(3, 130 => 2; "every hop of the chain")]
+fn silent_endpoints_in_use_are_detected(streams: usize, silent_ms: u64) -> usize {
+    let (mut fleet, chain) = with_active_streams(streams);
     fleet.record_progress(&chain, Some(Duration::from_millis(80)), at(1_000));
     fleet.stalled(at(1_000 + silent_ms)).len()
 }
 
 #[test]
-fn slower_streams_are_given_more_time() {
-    let (mut fleet, chain) = passing(3);
+fn slower_streams_get_a_longer_stall_timeout() {
+    let (mut fleet, chain) = with_active_streams(3);
     for event in 0..600 {
         fleet.record_progress(&chain, Some(Duration::from_millis(160)), at(1_000 + event));
     }
@@ -356,13 +358,13 @@
 }
 
 #[test]
-fn dead_endpoint_gets_nothing_until_it_reports() {
+fn dead_endpoint_gets_no_work_until_it_reports() {
     let mut fleet = fleet(two_zones());
     fleet.mark_dead("e1", at(10));
     assert!(fleet.is_dead("e1"));
-    // Also long after a doubt would have passed.
+    // Also long after the ejection has ended.
     let begins = |fleet: &Fleet| {
-        fleet.chain(&query(&huge(), &USUAL), at(60_000)).map(|chain| chain[0].id.to_string())
+        fleet.chain(&query(&huge(), &DEMAND), at(60_000)).map(|chain| chain[0].id.to_string())
     };
     assert_eq!(begins(&fleet).unwrap(), "e3");
     assert_eq!(fleet.due_for_probe(at(11)).len(), 0);
@@ -376,7 +378,7 @@
 }
 
 #[test]
-fn dead_endpoint_is_lost_after_a_while_unless_its_zone_is_cut_off() {
+fn dead_endpoint_is_lost_after_a_while_unless_its_zone_is_partitioned() {
     let zone = |n| endpoint(n, "a", "large", Some(layers(0, 10)));
     let mut fleet = fleet((1..=6).map(zone).collect());
     let lost = |fleet: &Fleet, ms| fleet.is_lost(fleet.get("e1").unwrap(), at(ms));
@@ -385,18 +387,19 @@
     assert!(!lost(&fleet, 1_599));
     assert!(lost(&fleet, 1_600));
     fleet.mark_dead("e2", at(1_600));
-    assert!(!lost(&fleet, 2_000), "a third of the zone is silent");
+    assert!(!lost(&fleet, 2_000), "a third of the zone is dead");
 }
 
 #[test]
-fn endpoint_without_memory_gets_nothing_for_a_moment() {
+fn endpoint_without_memory_gets_no_work_for_a_while() {
     let mut fleet = fleet(two_zones());
     fleet.record_cache_full("e1", at(50));
-    let begins =
-        |fleet: &Fleet, ms| fleet.chain(&query(&huge(), &USUAL), at(ms)).unwrap()[0].id.to_string();
+    let begins = |fleet: &Fleet, ms| {
+        fleet.chain(&query(&huge(), &DEMAND), at(ms)).unwrap()[0].id.to_string()
+    };
     assert_eq!(begins(&fleet, 149), "e3");
     assert_eq!(begins(&fleet, 150), "e1");
-    // What was sent before it was known to be full says nothing more.
+    // A refusal of a request sent before it was known to be full has no effect.
     fleet.record_cache_full("e1", at(200));
     fleet.record_cache_full("e1", at(210));
     assert_eq!(begins(&fleet, 399), "e3");
@@ -406,17 +409,17 @@
 }
 
 #[test]
-fn only_new_parts_of_a_moved_request_read_its_tokens() {
+fn only_new_hops_of_a_rerouted_request_prefill_its_tokens() {
     let mut fleet = fleet(two_zones());
-    let chain = choose(&fleet, &USUAL).unwrap();
-    let mut claim = fleet.claim(chain.clone(), &USUAL);
+    let chain = choose(&fleet, &DEMAND).unwrap();
+    let mut claim = fleet.claim(chain.clone(), &DEMAND);
     fleet.finish_prefill(&mut claim);
     let mut moved = chain.clone();
     moved[1].id = "e4".into();
     fleet.reroute(&mut claim, moved);
-    let reading: Vec<_> =
+    let prefill: Vec<_> =
         fleet.digest().into_iter().filter(|(_, usage)| usage.prefill > 0.0).collect();
-    assert_eq!(reading.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [endpoint_key("e4")]);
+    assert_eq!(prefill.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [endpoint_key("e4")]);
     fleet.finish_prefill(&mut claim);
     fleet.release(&claim);
     assert!(fleet.digest().is_empty());
@@ -427,6 +430,6 @@
     let mut fleet = fleet(two_zones());
     fleet.record_cache_full("e1", at(50));
     fleet.record_failure("e3", at(50));
-    let text = fleet.describe_holders(&query(&huge(), &USUAL), 7, at(60));
+    let text = fleet.describe_holders(&query(&huge(), &DEMAND), 7, at(60));
     assert_eq!(text, "e1 0.00 crowded, e3 0.00 doubted");
 }
