--- a/mimosashift/benches/route.rs
+++ b/mimosashift/benches/route.rs
@@ -1,4 +1,4 @@
-//! Time of one choice at 40, 200 and 1,000 replicas of four stages.
+//! Measures the time of one choice with 40, 200 and 1,000 replicas of four stages.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -28,14 +28,14 @@
     Resource { name: name(key), revision: 1, spec }
 }
 
-fn fleet(replicas: usize, rng: &mut Pcg64Mcg) -> Snapshot {
+fn snapshot_of(replicas: usize, rng: &mut Pcg64Mcg) -> Snapshot {
     let mut resources =
         vec![resource(Kind::Pipeline, "model", &json!({"layers": LAYERS, "version": 1}))];
-    for place in 0..replicas * usize::from(STAGES) {
-        let start = place as u16 % STAGES * (LAYERS / STAGES);
+    for index in 0..replicas * usize::from(STAGES) {
+        let start = index as u16 % STAGES * (LAYERS / STAGES);
         let body = json!({
             "address": "127.0.0.1:9000",
-            "domain": format!("domain-{}", place / usize::from(STAGES) % DOMAINS),
+            "domain": format!("domain-{}", index / usize::from(STAGES) % DOMAINS),
             "role": {"engine": {
                 "accelerator": "any",
                 "layer_us": rng.random_range(50..250),
@@ -43,7 +43,7 @@
                 "holds": [{"pipeline": "model", "version": 1, "layers": [start, start + LAYERS / STAGES]}],
             }},
         });
-        resources.push(resource(Kind::Endpoint, &format!("engine-{place}"), &body));
+        resources.push(resource(Kind::Endpoint, &format!("engine-{index}"), &body));
     }
     Snapshot::new(1, resources)
 }
@@ -52,7 +52,7 @@
     let mut group = c.benchmark_group("choose");
     for replicas in [40, 200, 1_000] {
         let mut rng = Pcg64Mcg::seed_from_u64(1);
-        let snapshot = fleet(replicas, &mut rng);
+        let snapshot = snapshot_of(replicas, &mut rng);
         let distances =
             Distances::new(name("domain-0"), Duration::from_micros(500), BTreeMap::new());
         let table = Table::new(&snapshot, &distances, Settings::default());
@@ -66,7 +66,7 @@
         let affinity = Affinity::default();
         let sources = Sources { health: &registry, affinity: &affinity };
         let model = name("model");
-        let ask = RouteRequest {
+        let request = RouteRequest {
             pipeline: &model,
             version: 1,
             prompt_tokens: 512,
@@ -78,7 +78,7 @@
             kept: &[],
         };
         group.bench_function(BenchmarkId::from_parameter(replicas), |b| {
-            b.iter(|| black_box(table.choose(&ask, &sources, now, &mut rng)));
+            b.iter(|| black_box(table.choose(&request, &sources, now, &mut rng)));
         });
     }
     group.finish();
--- a/mimosashift/src/route/affinity.rs
+++ b/mimosashift/src/route/affinity.rs
@@ -1,7 +1,7 @@
-//! Which endpoints cache which prompt prefixes, as far as events tell.
+//! Tracks which endpoints cache which prompt prefixes, from the engines' events.
 //!
-//! Engines publish cache events late and with gaps, so every entry expires and
-//! counts for less as it ages. Memory is bounded by construction.
+//! Cache events can be delayed or lost, so the confidence in an entry decreases
+//! with its age and entries expire. Memory is bounded by construction.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use crate::resource::Name;
 use crate::time::Instant;
 
-/// Most endpoints remembered for one prefix.
+/// Maximum number of endpoints stored for one prefix.
 pub const MAX_HOLDERS: usize = 8;
 
-/// Confidence kept by what was known before a gap in the events.
+/// Factor on the confidence in entries from before a gap in the events.
 const GAP_CONFIDENCE: f32 = 0.5;
 
 /// Limits of an [`Affinity`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Most prefixes remembered.
+    /// Maximum number of prefixes stored.
     pub prefixes: usize,
-    /// Time after which an entry without a new event is forgotten.
+    /// Time after which an entry without a new event expires.
     pub expiry: Duration,
 }
 
@@ -42,14 +42,14 @@
 pub struct Match {
     /// The endpoint.
     pub endpoint: Name,
-    /// How far the entry is trusted, above 0 and up to 1.
+    /// Confidence in the entry, above 0 and up to 1.
     pub confidence: f32,
 }
 
 /// Prefixes by hash.
 ///
-/// Two generations bound the memory: when the young one is full it becomes the
-/// old one, and the old one is dropped.
+/// Two generations bound the memory: when the young one is full, it replaces the
+/// old one, which is dropped.
 #[derive(Debug)]
 pub struct Affinity {
     settings: Settings,
@@ -70,48 +70,48 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Cache {
     sequence: u64,
-    /// When a gap was last noticed.
-    gap: Option<Instant>,
-    /// Entries up to this time are void.
-    cleared: Option<Instant>,
+    /// When a gap in the sequence was last detected.
+    gap_at: Option<Instant>,
+    /// When the cache was last cleared; entries up to then are invalid.
+    cleared_at: Option<Instant>,
 }
 
 /// Commands.
 impl Affinity {
-    /// Nothing known yet.
+    /// Creates an empty index.
     pub fn new(settings: Settings) -> Self {
         Self { settings, young: HashMap::new(), old: HashMap::new(), endpoints: HashMap::new() }
     }
 
-    /// Takes in event number `sequence` of an endpoint's stream. One that was
-    /// overtaken is ignored; a gap lowers the trust in all that came before.
+    /// Applies event number `sequence` of an endpoint's stream. An out-of-order
+    /// event is ignored; a gap lowers the confidence in all earlier entries.
     pub fn event(&mut self, endpoint: &Name, sequence: u64, event: Event<'_>, now: Instant) {
         let cache = self.endpoints.entry(endpoint.clone()).or_default();
         if sequence <= cache.sequence {
             return;
         }
         if cache.sequence > 0 && sequence > cache.sequence + 1 {
-            cache.gap = Some(now);
+            cache.gap_at = Some(now);
         }
         cache.sequence = sequence;
         match event {
             Event::Stored(hashes) => self.store(endpoint, hashes, now),
             Event::Removed(hashes) => self.remove(endpoint, hashes),
-            Event::Cleared => cache.cleared = Some(now),
+            Event::Cleared => cache.cleared_at = Some(now),
         }
     }
 
-    /// Notes that a request with these prefixes ran at `endpoint`.
+    /// Records that `endpoint` has run a request with these prefixes.
     pub fn store(&mut self, endpoint: &Name, hashes: &[u64], now: Instant) {
         let entry = self.endpoints.entry(endpoint.clone());
-        let shared = entry.key().clone();
+        let name = entry.key().clone();
         entry.or_default();
         for &hash in hashes {
-            self.store_one(&shared, hash, now);
+            self.store_one(&name, hash, now);
         }
     }
 
-    /// Forgets an endpoint that restarted or left the configuration.
+    /// Removes an endpoint that restarted or left the configuration.
     pub fn forget(&mut self, endpoint: &Name) {
         self.endpoints.remove(endpoint);
         for prefixes in [&mut self.young, &mut self.old] {
@@ -161,26 +161,26 @@
         matches.filter(|found| found.confidence > 0.0).collect()
     }
 
-    /// Number of prefixes remembered.
+    /// Number of prefixes stored.
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether no prefix is remembered.
+    /// Whether no prefix is stored.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
     fn confidence(&self, holder: &Holder, now: Instant) -> f32 {
         let cache = self.endpoints.get(&holder.endpoint).copied().unwrap_or_default();
-        if cache.cleared.is_some_and(|cleared| holder.at <= cleared) {
+        if cache.cleared_at.is_some_and(|cleared_at| holder.at <= cleared_at) {
             return 0.0;
         }
         let age = now.since(holder.at).as_secs_f32() / self.settings.expiry.as_secs_f32();
-        let fresh = (1.0 - age).max(0.0);
-        match cache.gap {
-            Some(gap) if holder.at < gap => fresh * GAP_CONFIDENCE,
-            _ => fresh,
+        let freshness = (1.0 - age).max(0.0);
+        match cache.gap_at {
+            Some(gap_at) if holder.at < gap_at => freshness * GAP_CONFIDENCE,
+            _ => freshness,
         }
     }
 }
--- a/mimosashift/src/route/chain.rs
+++ b/mimosashift/src/route/chain.rs
@@ -1,4 +1,4 @@
-//! The stages that together run every layer of a model once.
+//! Chains of stages that together run every layer of a model exactly once.
 
 use quick_error::quick_error;
 use smallvec::SmallVec;
@@ -6,7 +6,7 @@
 use crate::resource::{Layers, Name};
 
 quick_error! {
-    /// Why stages do not form a chain.
+    /// Reason why stages do not form a chain.
     #[derive(Clone, Debug, PartialEq, Eq)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
@@ -30,8 +30,7 @@
     pub layers: Layers,
 }
 
-/// Stages that cover the layers of one version of a model, each exactly once
-/// and in order.
+/// Stages that cover the layers of one version of a model exactly once and in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Chain {
     pipeline: Name,
@@ -40,7 +39,8 @@
 }
 
 impl Chain {
-    /// Checks that `stages` run layers `0..layers` once each and in order.
+    /// Creates a chain; fails unless `stages` run the layers `0..layers` exactly once
+    /// and in order.
     pub fn new(
         pipeline: Name,
         version: u32,
@@ -72,7 +72,7 @@
         self.version
     }
 
-    /// The stages, in order of layers.
+    /// The stages, in layer order.
     pub fn stages(&self) -> &[Stage] {
         &self.stages
     }
--- a/mimosashift/src/route/cost.rs
+++ b/mimosashift/src/route/cost.rs
@@ -1,4 +1,4 @@
-//! Estimated time that one endpoint adds to a request.
+//! Estimates the time that an endpoint adds to a request.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use crate::health::{Condition, Standing, model};
 use crate::resource::{Engine, Snapshot};
 
-/// Added to the cost of a returning endpoint that sits this choice out; more
+/// Added to the cost of a returning endpoint that is skipped by this choice; more
 /// than any estimate, less than the next penalty.
 const RETURNING_PENALTY_US: f64 = 1e10;
 
@@ -16,23 +16,23 @@
 /// Added to the cost of an endpoint ejected as unreachable.
 const UNREACHABLE_PENALTY_US: f64 = 1e14;
 
-/// Declared speed of an endpoint and its link.
+/// Declared speed of an endpoint and of the link to it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Speed {
     layer_us: f32,
     slots: u32,
-    /// Share of a model's layers that the endpoint holds: about the share of
-    /// time that a sequence spends at it, and not at other stages.
+    /// Share of a model's layers that the endpoint holds, which approximates the
+    /// share of time that a sequence spends at it and not at other stages.
     share: f32,
     one_way_us: f32,
     bytes_per_second: f32,
 }
 
-/// The work of one request, in units that every endpoint shares.
+/// The work of one request, in units independent of the endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Work {
     layers: f32,
-    /// Compute in one-token steps through one layer.
+    /// Compute, in steps of one token through one layer.
     steps: f32,
     decode_steps: f32,
     prompt_bytes: f32,
@@ -42,29 +42,29 @@
 /// What an endpoint adds to a request's completion time, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// Wait for a slot.
+    /// Time waiting for a slot.
     pub wait_us: f64,
-    /// Time on the link over all tokens.
+    /// Transfer time for all tokens.
     pub link_us: f64,
-    /// Compute for each layer over all tokens.
+    /// Compute time per layer for all tokens.
     pub layer_us: f64,
-    /// Added so that an avoided endpoint is the last resort; 0 for a live one.
+    /// Penalty that makes an unhealthy or returning endpoint the last resort; otherwise 0.
     pub penalty_us: f64,
 }
 
 impl Speed {
-    pub(super) fn new(engine: &Engine, snapshot: &Snapshot, crossing: Duration) -> Self {
+    pub(super) fn new(engine: &Engine, snapshot: &Snapshot, domain_latency: Duration) -> Self {
         Self {
             share: share(engine, snapshot),
             layer_us: engine.layer_us as f32,
             slots: u32::from(engine.slots),
-            one_way_us: engine.link_us as f32 + crossing.as_secs_f32() * 1e6,
+            one_way_us: engine.link_us as f32 + domain_latency.as_secs_f32() * 1e6,
             bytes_per_second: engine.link_bytes_per_second as f32,
         }
     }
 
-    /// Estimates `work` in `condition`; `None` when the endpoint may not or
-    /// cannot take it.
+    /// Estimates the time for `work` under `condition`; `None` if the endpoint must
+    /// not or cannot take it.
     pub(super) fn estimate(
         &self,
         work: &Work,
@@ -74,16 +74,16 @@
         if condition.standing == Standing::Leaving || condition.overloaded {
             return None;
         }
-        // A sequence takes a slot only while it is at this stage.
-        let present = 1.0 + condition.sequences as f32 * self.share;
-        let batched = (present.ceil() as u32).min(self.slots);
-        let slowed = self.layer_us * condition.service_factor * model::batch_weight(batched);
-        let layer_us = f64::from(slowed * work.steps);
+        // A sequence occupies a slot only while it is at this stage.
+        let concurrent = 1.0 + condition.sequences as f32 * self.share;
+        let batch_size = (concurrent.ceil() as u32).min(self.slots);
+        let step_us = self.layer_us * condition.service_factor * model::batch_weight(batch_size);
+        let layer_us = f64::from(step_us * work.steps);
         let slots = f64::from(self.slots);
         let free_slots = slots * (1.0 - settings.reserved_share);
-        let ahead = (f64::from(present) - free_slots).max(0.0);
-        let turns = ahead / slots;
-        let wait_us = turns * layer_us * f64::from(work.layers * self.share);
+        let queued = (f64::from(concurrent) - free_slots).max(0.0);
+        let rounds = queued / slots;
+        let wait_us = rounds * layer_us * f64::from(work.layers * self.share);
         if wait_us > settings.max_wait.as_secs_f64() * 1e6 {
             return None;
         }
@@ -96,19 +96,19 @@
         Some(Estimate { wait_us, link_us, layer_us, penalty_us })
     }
 
-    /// Time to run `layers` layers of `work` on the idle endpoint.
+    /// Time to run `layers` layers of `work` when the endpoint is idle.
     pub(super) fn idle_us(&self, work: &Work, layers: u16) -> u64 {
         let compute = self.layer_us * work.steps * f32::from(layers);
         (compute + self.link_us(work)) as u64
     }
 
     fn link_us(&self, work: &Work) -> f32 {
-        let exchange = |bytes| model::link_us(self.one_way_us, bytes, self.bytes_per_second);
-        exchange(work.prompt_bytes) + work.decode_steps * exchange(work.decode_bytes)
+        let transfer_us = |bytes| model::link_us(self.one_way_us, bytes, self.bytes_per_second);
+        transfer_us(work.prompt_bytes) + work.decode_steps * transfer_us(work.decode_bytes)
     }
 }
 
-/// The largest share of a model's layers that an engine holds.
+/// The largest share of any model's layers that an engine holds.
 fn share(engine: &Engine, snapshot: &Snapshot) -> f32 {
     let shares = engine.holds.iter().map(|held| {
         let layers = snapshot.pipeline(&held.pipeline).map_or(1, |pipeline| pipeline.layers);
@@ -118,10 +118,15 @@
 }
 
 impl Work {
-    /// Work of `ask` when the engines have `cached` tokens of its prompt.
-    pub(super) fn new(ask: &RouteRequest<'_>, layers: u16, hidden_bytes: u32, cached: f32) -> Self {
-        let prompt = (ask.prompt_tokens as f32 - cached).max(1.0);
-        let decode_steps = ask.output_tokens.saturating_sub(1) as f32;
+    /// The work of `request` if the engines have cached `cached` tokens of its prompt.
+    pub(super) fn new(
+        request: &RouteRequest<'_>,
+        layers: u16,
+        hidden_bytes: u32,
+        cached: f32,
+    ) -> Self {
+        let prompt = (request.prompt_tokens as f32 - cached).max(1.0);
+        let decode_steps = request.output_tokens.saturating_sub(1) as f32;
         let token_bytes = 2.0 * hidden_bytes as f32;
         Self {
             layers: f32::from(layers),
@@ -134,12 +139,12 @@
 }
 
 impl Estimate {
-    /// Completion time added when the endpoint runs `layers` layers.
+    /// Completion time added if the endpoint runs `layers` layers.
     pub fn total_us(&self, layers: u16) -> f64 {
         self.wait_us + self.link_us + self.layer_us * f64::from(layers)
     }
 
-    pub(super) const fn returning(self) -> Self {
+    pub(super) const fn with_returning_penalty(self) -> Self {
         Self { penalty_us: self.penalty_us + RETURNING_PENALTY_US, ..self }
     }
 }
--- a/mimosashift/src/route/distance.rs
+++ b/mimosashift/src/route/distance.rs
@@ -1,4 +1,4 @@
-//! Latency between failure domains.
+//! Network latency between failure domains.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,14 +9,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Distances {
     own: Name,
-    usual: Duration,
-    special: BTreeMap<Name, Duration>,
+    default: Duration,
+    overrides: BTreeMap<Name, Duration>,
 }
 
 impl Distances {
-    /// Distances from `own`: `usual` to every domain not named in `special`.
-    pub const fn new(own: Name, usual: Duration, special: BTreeMap<Name, Duration>) -> Self {
-        Self { own, usual, special }
+    /// Creates the latencies from `own`: `default` to every domain without an entry in
+    /// `overrides`.
+    pub const fn new(own: Name, default: Duration, overrides: BTreeMap<Name, Duration>) -> Self {
+        Self { own, default, overrides }
     }
 
     /// The router's own failure domain.
@@ -24,11 +25,11 @@
         &self.own
     }
 
-    /// One-way latency to `domain`, zero to the own one.
+    /// One-way latency to `domain`; zero to the router's own.
     pub fn to(&self, domain: &Name) -> Duration {
         if *domain == self.own {
             return Duration::ZERO;
         }
-        self.special.get(domain).copied().unwrap_or(self.usual)
+        self.overrides.get(domain).copied().unwrap_or(self.default)
     }
 }
--- a/mimosashift/src/route/explain.rs
+++ b/mimosashift/src/route/explain.rs
@@ -1,4 +1,4 @@
-//! What every endpoint would cost, for an operator.
+//! Explains to an operator what every endpoint would cost a request.
 
 use std::cmp::Ordering;
 
@@ -8,44 +8,44 @@
 use crate::resource::{Layers, Name};
 use crate::time::Instant;
 
-/// One endpoint that holds layers of the model, with its part of the cost.
+/// An endpoint that holds layers of the model, with its estimated cost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The layers of this line; lines of the same layers are alternatives.
+    /// The layers; candidates with the same layers are alternatives.
     pub layers: Layers,
     /// The endpoint.
     pub endpoint: Name,
     /// Its failure domain.
     pub domain: Name,
-    /// Its state.
+    /// Its health.
     pub condition: Condition,
-    /// What it adds to the request, or `None` when it may not or cannot take
-    /// it.
+    /// Time it adds to the request; `None` if it is excluded or cannot take it.
     pub estimate: Option<Estimate>,
 }
 
 impl Table {
-    /// Up to `limit` cheapest endpoints for each run of layers, cheapest
-    /// first. Unlike a choice it looks at every holder and rolls no dice.
+    /// The `limit` cheapest endpoints for each segment of layers, cheapest first.
+    /// Unlike [`choose`](Self::choose) it evaluates every endpoint and uses no
+    /// randomness.
     pub fn explain<V: View>(
         &self,
-        ask: &RouteRequest<'_>,
+        request: &RouteRequest<'_>,
         sources: &Sources<'_, V>,
         now: Instant,
         limit: usize,
     ) -> Result<Vec<Candidate>, Refusal> {
-        let model = self.model(ask)?;
-        let request = self.request(ask, model, sources.health, 0.0, now);
-        let mut lines = Vec::new();
-        for (range, segment) in model.points.windows(2).zip(&model.segments) {
-            let layers = Layers::try_from((range[0], range[1])).expect("points rise");
+        let model = self.model(request)?;
+        let evaluator = self.evaluator(request, model, sources.health, 0.0, now);
+        let mut candidates = Vec::new();
+        for (range, segment) in model.boundaries.windows(2).zip(&model.segments) {
+            let layers = Layers::try_from((range[0], range[1])).expect("boundaries are increasing");
             let holders = segment.holders.iter();
             let mut alternatives: Vec<Candidate> =
-                holders.map(|holder| request.explain(holder.entry, layers)).collect();
+                holders.map(|holder| evaluator.explain(holder.entry, layers)).collect();
             alternatives.sort_by(|a, b| compare(a.estimate, b.estimate, layers.count()));
-            lines.extend(alternatives.into_iter().take(limit));
+            candidates.extend(alternatives.into_iter().take(limit));
         }
-        Ok(lines)
+        Ok(candidates)
     }
 }
 
--- a/mimosashift/src/route/mod.rs
+++ b/mimosashift/src/route/mod.rs
@@ -1,6 +1,7 @@
-//! Which endpoints run the layers of a request.
+//! Chooses the endpoints that run the layers of a request.
 //!
-//! `docs/design/routing.md` gives the cost model and how the choice is bounded.
+//! `docs/design/routing.md` describes the cost model and the bounds on the work of
+//! a choice.
 
 use std::time::Duration;
 
@@ -43,22 +44,22 @@
         UnknownAdapter { pipeline: Name, adapter: Name } {
             display("pipeline {:?} has no adapter {:?}", pipeline.as_str(), adapter.as_str())
         }
-        /// Every holder of these layers is leaving or excluded, or none exists.
+        /// Every endpoint that holds these layers is leaving or excluded, or there is none.
         NoHolder { pipeline: Name, version: u32, layers: Layers } {
             display("no live endpoint holds layers {} of version {} of pipeline {:?}", layers, version, pipeline.as_str())
         }
-        /// Every live holder of these layers is full.
+        /// Every live endpoint that holds these layers is overloaded.
         Overloaded { pipeline: Name, layers: Layers } {
             display("every endpoint that holds layers {} of pipeline {:?} is overloaded", layers, pipeline.as_str())
         }
-        /// The stages to keep overlap, are out of order or exceed the model.
+        /// The stages to keep overlap, are out of order or exceed the model's layers.
         InvalidKeptStages { pipeline: Name, layers: Layers } {
             display("stage to keep with layers {} does not fit pipeline {:?}", layers, pipeline.as_str())
         }
     }
 }
 
-/// A request as the choice of its chain sees it.
+/// The properties of a request that the choice of its chain depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
     /// The model.
@@ -67,9 +68,9 @@
     pub version: u32,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens that the answer is expected to have.
+    /// Expected number of output tokens.
     pub output_tokens: u32,
-    /// The adapter, if the caller named one.
+    /// The adapter, if the caller specified one.
     pub adapter: Option<&'a Name>,
     /// Prefixes of the prompt, shortest first.
     pub prefixes: &'a [Prefix],
@@ -77,12 +78,12 @@
     pub avoid: &'a [Name],
     /// Failure domains that must not be chosen.
     pub avoid_domains: &'a [Name],
-    /// Stages to keep, in order of layers; only the layers between them are
-    /// given to endpoints. Kept stages are not checked for health.
+    /// Stages to keep, in layer order; endpoints are chosen only for the layers
+    /// between them. The health of kept stages is not checked.
     pub kept: &'a [Stage],
 }
 
-/// A prefix of a prompt, as engines name it in cache events.
+/// A prefix of a prompt, as engines identify it in cache events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prefix {
     /// Hash of all tokens from the start of the prompt.
@@ -94,15 +95,15 @@
 /// Limits of a choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Most candidates drawn for each layer boundary.
+    /// Maximum number of candidates sampled for each layer boundary.
     pub candidates: usize,
-    /// Costs that differ by less than this share count as equal, so that
+    /// Maximum relative increase of an estimated cost by a random factor, so that
     /// routers with the same reports do not all choose the same endpoint.
     pub cost_jitter: f64,
-    /// Share of an endpoint's slots counted as taken by work that lagging
-    /// reports do not show yet, 0 to 1.
+    /// Share of an endpoint's slots reserved for requests that delayed reports do
+    /// not show yet, 0 to 1.
     pub reserved_share: f64,
-    /// Longest estimated wait in an endpoint's queue.
+    /// Maximum estimated wait in an endpoint's queue.
     pub max_wait: Duration,
 }
 
--- a/mimosashift/src/route/sample.rs
+++ b/mimosashift/src/route/sample.rs
@@ -1,97 +1,99 @@
-//! Draws a few candidates of a segment.
+//! Samples candidates for a segment.
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use smallvec::SmallVec;
 
-use super::choose::{Request, Stats};
+use super::choose::{Evaluator, Stats};
 use super::cost::Estimate;
 use super::table::{Holder, Segment};
 use crate::health::View;
 
-/// Share of candidates drawn from the own failure domain, when both the own
-/// and others have holders.
+/// Share of candidates sampled from the router's own failure domain, if both it and
+/// other domains have holders.
 const LOCAL_SHARE: f64 = 0.67;
 
-/// Draws for each wanted candidate; further draws replace unusable endpoints
-/// and repeated ones.
+/// Draws per requested candidate; the additional draws replace unusable and repeated
+/// endpoints.
 const DRAWS_PER_CANDIDATE: usize = 2;
 
-/// Draws of each part kept back, so that a scan after fruitless draws stays
-/// within the bound on endpoints looked at.
-const SPARE_DRAWS: usize = 4;
+/// Draws withheld from each partition, so that a fallback scan stays within the bound
+/// on evaluations.
+const RESERVED_DRAWS: usize = 4;
 
-/// One draw in so many is uniform.
+/// One in this many draws is uniform.
 const UNIFORM_EVERY: usize = 4;
 
-/// Live candidates looked for when no draw gave one.
+/// Live candidates at which a fallback scan stops.
 const FALLBACK_CANDIDATES: usize = 2;
 
 /// Candidates of one segment.
 pub(super) type Candidates = SmallVec<[Candidate; 24]>;
 
-/// An endpoint that may run layers from a point on.
+/// An endpoint that can run layers from a boundary on.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) holder: Holder,
     pub(super) estimate: Estimate,
-    /// Random factor on the cost, to break near-ties differently each time.
-    pub(super) spread: f64,
+    /// Random factor on the cost, which breaks near ties differently each time.
+    pub(super) cost_factor: f64,
 }
 
-/// Draws candidates of `segment`: power of k choices, with most draws among
-/// the endpoints that are fastest when idle.
+/// Samples candidates of `segment` (power of k choices), with most draws from the
+/// endpoints that are fastest when idle.
 ///
-/// When no draw gives a live candidate, every holder is looked at, so that an
-/// endpoint that can run the layers is always found.
-pub(super) fn draw<V: View>(
+/// If no draw yields a live candidate, it scans the holders, so that an endpoint
+/// that can run the layers is always found.
+pub(super) fn sample<V: View>(
     segment: &Segment,
-    request: &Request<'_, V>,
+    evaluator: &Evaluator<'_, V>,
     stats: &mut Stats,
     rng: &mut Pcg64Mcg,
 ) -> Candidates {
-    let wanted = request.table.settings.candidates;
+    let requested = evaluator.table.settings.candidates;
     let mut found = Candidates::new();
-    if segment.holders.len() <= wanted {
-        collect(&segment.holders, usize::MAX, request, stats, rng, &mut found);
+    if segment.holders.len() <= requested {
+        scan(&segment.holders, usize::MAX, evaluator, stats, rng, &mut found);
         return found;
     }
     let (local, remote) = segment.holders.split_at(segment.local);
-    let quota = local_quota(wanted, local.len(), remote.len());
-    draw_part(local, quota, request, stats, rng, &mut found);
-    draw_part(remote, wanted - quota, request, stats, rng, &mut found);
+    let quota = local_quota(requested, local.len(), remote.len());
+    sample_partition(local, quota, evaluator, stats, rng, &mut found);
+    sample_partition(remote, requested - quota, evaluator, stats, rng, &mut found);
     if !found.iter().any(|candidate| candidate.estimate.penalty_us == 0.0) {
         found.clear();
         let start = rng.random_range(0..segment.holders.len());
         let (before, after) = segment.holders.split_at(start);
-        collect(after, FALLBACK_CANDIDATES, request, stats, rng, &mut found);
-        collect(before, FALLBACK_CANDIDATES, request, stats, rng, &mut found);
+        scan(after, FALLBACK_CANDIDATES, evaluator, stats, rng, &mut found);
+        scan(before, FALLBACK_CANDIDATES, evaluator, stats, rng, &mut found);
     }
     found
 }
 
-fn local_quota(wanted: usize, local: usize, remote: usize) -> usize {
-    let share = (wanted as f64 * LOCAL_SHARE).ceil() as usize;
-    share.max(wanted.saturating_sub(remote)).min(local)
+/// Number of candidates to sample from the router's own failure domain.
+fn local_quota(requested: usize, local: usize, remote: usize) -> usize {
+    let share = (requested as f64 * LOCAL_SHARE).ceil() as usize;
+    share.max(requested.saturating_sub(remote)).min(local)
 }
 
-fn draw_part<V: View>(
+/// Samples up to `quota` candidates of one partition of a segment.
+fn sample_partition<V: View>(
     holders: &[Holder],
     quota: usize,
-    request: &Request<'_, V>,
+    evaluator: &Evaluator<'_, V>,
     stats: &mut Stats,
     rng: &mut Pcg64Mcg,
     found: &mut Candidates,
 ) {
     if holders.len() <= quota {
-        collect(holders, usize::MAX, request, stats, rng, found);
+        scan(holders, usize::MAX, evaluator, stats, rng, found);
         return;
     }
-    let enough = found.len() + quota;
+    let target_count = found.len() + quota;
     let octaves = (holders.len() as f32).log2();
     let mut seen: SmallVec<[u32; 64]> = SmallVec::new();
-    for draw in 0..(quota * DRAWS_PER_CANDIDATE).saturating_sub(SPARE_DRAWS) {
-        if found.len() >= enough {
+    for draw in 0..(quota * DRAWS_PER_CANDIDATE).saturating_sub(RESERVED_DRAWS) {
+        if found.len() >= target_count {
             return;
         }
         let rank = draw_rank(draw, holders.len(), octaves, rng);
@@ -99,13 +101,13 @@
             continue;
         }
         seen.push(rank);
-        found.extend(request.candidate(holders[rank as usize], stats, rng));
+        found.extend(evaluator.candidate(holders[rank as usize], stats, rng));
     }
 }
 
-/// A rank below `length`: every fourth one uniform, so that any holder may be
-/// found idle, the others log-uniform, so that every octave of ranks is drawn
-/// from equally.
+/// Draws a rank below `length`. One draw in `UNIFORM_EVERY` is uniform, so that an idle
+/// holder of any rank can be found; the others are log-uniform, so that every octave
+/// (power of two) of ranks is equally likely.
 fn draw_rank(draw: usize, length: usize, octaves: f32, rng: &mut Pcg64Mcg) -> u32 {
     let last = length as u32 - 1;
     if draw.is_multiple_of(UNIFORM_EVERY) {
@@ -115,12 +117,11 @@
     (rank as u32).min(last)
 }
 
-/// Takes up to `limit` live candidates of `holders`, and the avoided ones
-/// that lie before them.
-fn collect<V: View>(
+/// Adds candidates from `holders` in order until `found` has `limit` live ones.
+fn scan<V: View>(
     holders: &[Holder],
     limit: usize,
-    request: &Request<'_, V>,
+    evaluator: &Evaluator<'_, V>,
     stats: &mut Stats,
     rng: &mut Pcg64Mcg,
     found: &mut Candidates,
@@ -130,7 +131,7 @@
         if live >= limit {
             return;
         }
-        let Some(candidate) = request.candidate(holder, stats, rng) else { continue };
+        let Some(candidate) = evaluator.candidate(holder, stats, rng) else { continue };
         live += usize::from(candidate.estimate.penalty_us == 0.0);
         found.push(candidate);
     }
--- a/mimosashift/src/route/search.rs
+++ b/mimosashift/src/route/search.rs
@@ -1,4 +1,4 @@
-//! Shortest path over layer boundaries.
+//! Shortest path over the layer boundaries of a model.
 
 use smallvec::SmallVec;
 
@@ -6,98 +6,101 @@
 use super::sample::Candidate;
 use crate::resource::Layers;
 
-/// The best way known to reach each point.
+/// The cheapest known path to each boundary.
 #[derive(Debug)]
 pub(super) struct Search {
-    points: SmallVec<[u16; 16]>,
-    reached: SmallVec<[Reached; 16]>,
+    boundaries: SmallVec<[u16; 16]>,
+    arrivals: SmallVec<[Arrival; 16]>,
 }
 
-/// The last stage of the best path to a point.
+/// The last stage of the cheapest path to a boundary.
 #[derive(Clone, Copy, Debug)]
-struct Reached {
+struct Arrival {
     cost: f64,
     from: usize,
-    by: Option<Candidate>,
+    candidate: Option<Candidate>,
 }
 
-/// A stage of the path found.
+/// A stage of a path.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Leg {
+pub(super) struct PathStage {
     pub(super) layers: Layers,
-    /// The endpoint chosen, or `None` for a kept stage.
-    pub(super) by: Option<Candidate>,
+    /// The chosen candidate, or `None` for a kept stage.
+    pub(super) candidate: Option<Candidate>,
 }
 
 impl Search {
-    /// Starts at layer 0, with the points of a model and of the kept stages.
+    /// Starts a search at layer 0, over the boundaries of a model and of the kept
+    /// stages.
     pub(super) fn new(model: &[u16], kept: &[Stage]) -> Self {
-        let mut points: SmallVec<[u16; 16]> = SmallVec::from_slice(model);
+        let mut boundaries: SmallVec<[u16; 16]> = SmallVec::from_slice(model);
         if !kept.is_empty() {
-            points.extend(kept.iter().flat_map(|s| [s.layers.start(), s.layers.end()]));
-            points.sort_unstable();
-            points.dedup();
+            boundaries.extend(kept.iter().flat_map(|s| [s.layers.start(), s.layers.end()]));
+            boundaries.sort_unstable();
+            boundaries.dedup();
         }
-        let unreached = Reached { cost: f64::INFINITY, from: 0, by: None };
-        let mut reached: SmallVec<[Reached; 16]> = SmallVec::from_elem(unreached, points.len());
-        reached[0].cost = 0.0;
-        Self { points, reached }
+        let unreached = Arrival { cost: f64::INFINITY, from: 0, candidate: None };
+        let mut arrivals: SmallVec<[Arrival; 16]> =
+            SmallVec::from_elem(unreached, boundaries.len());
+        arrivals[0].cost = 0.0;
+        Self { boundaries, arrivals }
     }
 
-    pub(super) fn points(&self) -> usize {
-        self.points.len()
+    pub(super) fn boundaries(&self) -> usize {
+        self.boundaries.len()
     }
 
-    pub(super) fn layer(&self, point: usize) -> u16 {
-        self.points[point]
+    pub(super) fn layer(&self, boundary: usize) -> u16 {
+        self.boundaries[boundary]
     }
 
-    pub(super) fn is_reached(&self, point: usize) -> bool {
-        self.reached[point].cost.is_finite()
+    pub(super) fn is_reached(&self, boundary: usize) -> bool {
+        self.arrivals[boundary].cost.is_finite()
     }
 
-    /// Lets a kept stage run from `point` to layer `end` at no cost.
-    pub(super) fn keep(&mut self, point: usize, end: u16) {
-        let to = self.points.partition_point(|&layer| layer < end);
-        let cost = self.reached[point].cost;
-        self.reached[to] = Reached { cost, from: point, by: None };
+    /// Adds a kept stage from `boundary` to layer `end` at no cost.
+    pub(super) fn keep(&mut self, boundary: usize, end: u16) {
+        let to = self.boundaries.partition_point(|&layer| layer < end);
+        let cost = self.arrivals[boundary].cost;
+        self.arrivals[to] = Arrival { cost, from: boundary, candidate: None };
     }
 
-    /// Lets `candidate` run from `point` to each later point up to `limit`.
-    pub(super) fn relax(&mut self, point: usize, candidate: &Candidate, limit: u16) {
-        let start = self.points[point];
+    /// Relaxes the edges of `candidate` from `boundary` to each later boundary up to
+    /// layer `limit`.
+    pub(super) fn relax(&mut self, boundary: usize, candidate: &Candidate, limit: u16) {
+        let start = self.boundaries[boundary];
         let end = candidate.holder.end.min(limit);
         let estimate = &candidate.estimate;
-        let cost = self.reached[point].cost + estimate.penalty_us;
-        for to in point + 1..self.points.len() {
-            let layer = self.points[to];
+        let cost = self.arrivals[boundary].cost + estimate.penalty_us;
+        for to in boundary + 1..self.boundaries.len() {
+            let layer = self.boundaries[to];
             if layer > end {
                 return;
             }
-            let cost = cost + estimate.total_us(layer - start) * candidate.spread;
-            if cost < self.reached[to].cost {
-                self.reached[to] = Reached { cost, from: point, by: Some(*candidate) };
+            let cost = cost + estimate.total_us(layer - start) * candidate.cost_factor;
+            if cost < self.arrivals[to].cost {
+                self.arrivals[to] = Arrival { cost, from: boundary, candidate: Some(*candidate) };
             }
         }
     }
 
-    /// The stages and cost of the best path to the last point, if it was
-    /// reached.
-    pub(super) fn path(&self) -> Option<(SmallVec<[Leg; 8]>, f64)> {
-        let mut point = self.points.len() - 1;
-        let cost = self.reached[point].cost;
-        if !self.is_reached(point) {
+    /// The stages and cost of the cheapest path to the last boundary, if there is
+    /// one.
+    pub(super) fn path(&self) -> Option<(SmallVec<[PathStage; 8]>, f64)> {
+        let mut boundary = self.boundaries.len() - 1;
+        let cost = self.arrivals[boundary].cost;
+        if !self.is_reached(boundary) {
             return None;
         }
-        let mut legs = SmallVec::new();
-        while point > 0 {
-            let Reached { from, by, .. } = self.reached[point];
-            let layers = Layers::try_from((self.points[from], self.points[point]))
-                .expect("points rise along a path");
-            legs.push(Leg { layers, by });
-            point = from;
+        let mut stages = SmallVec::new();
+        while boundary > 0 {
+            let Arrival { from, candidate, .. } = self.arrivals[boundary];
+            let layers = Layers::try_from((self.boundaries[from], self.boundaries[boundary]))
+                .expect("boundaries increase along a path");
+            stages.push(PathStage { layers, candidate });
+            boundary = from;
         }
-        legs.reverse();
-        Some((legs, cost))
+        stages.reverse();
+        Some((stages, cost))
     }
 }
--- a/mimosashift/src/route/table.rs
+++ b/mimosashift/src/route/table.rs
@@ -1,4 +1,4 @@
-//! Index of a configuration for the choice of chains.
+//! Index of a configuration snapshot for choosing chains.
 
 use std::collections::HashMap;
 
@@ -6,13 +6,14 @@
 use super::{Distances, Refusal, RouteRequest, Settings};
 use crate::resource::{Layers, Name, Role, Snapshot};
 
-/// A reference request; holders are ranked by what they add to it when idle.
+/// Reference request; holders are ranked by the time they add to it when idle.
 const REFERENCE_PROMPT_TOKENS: u32 = 512;
 const REFERENCE_OUTPUT_TOKENS: u32 = 128;
 
-/// Who holds which layers, as of one snapshot, seen from one failure domain.
+/// The endpoints that hold each model's layers in one snapshot, seen from one failure
+/// domain.
 ///
-/// It is built once for each snapshot and shared by all choices.
+/// It is built once per snapshot and shared by all choices.
 #[derive(Debug)]
 pub struct Table {
     pub(super) settings: Settings,
@@ -35,33 +36,33 @@
     pub(super) layers: u16,
     pub(super) hidden_bytes: u32,
     adapters: Vec<Name>,
-    /// Layers at which a holding starts or ends, with 0 and `layers`. Costs
-    /// are linear in the layers run, so no better place to split exists.
-    pub(super) points: Vec<u16>,
-    /// Who can run the layers from each point to the next.
+    /// Layers at which a held range starts or ends, with 0 and `layers`. Costs are
+    /// linear in the number of layers, so no other place to split is better.
+    pub(super) boundaries: Vec<u16>,
+    /// The holders of the layers from each boundary to the next.
     pub(super) segments: Vec<Segment>,
 }
 
-/// The holders of the layers between two neighbouring points.
+/// The holders of the layers between two adjacent boundaries.
 #[derive(Debug, Default)]
 pub(super) struct Segment {
-    /// Own failure domain first, each part from fast to slow.
+    /// The router's own failure domain first, each partition from fast to slow.
     pub(super) holders: Vec<Holder>,
-    /// Number of holders in the own failure domain.
+    /// Number of holders in the router's own failure domain.
     pub(super) local: usize,
 }
 
-/// An endpoint that can run on from a point.
+/// An endpoint that can run the layers from a boundary on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Holder {
-    /// Place in the table's entries.
+    /// Index into the table's entries.
     pub(super) entry: u32,
     /// One past the last layer that it can run.
     pub(super) end: u16,
 }
 
 impl Table {
-    /// Indexes `snapshot` for routers at `distances`.
+    /// Indexes `snapshot` for a router with these `distances`.
     pub fn new(snapshot: &Snapshot, distances: &Distances, settings: Settings) -> Self {
         let mut table =
             Self { settings, entries: Vec::new(), by_name: HashMap::new(), models: HashMap::new() };
@@ -84,7 +85,7 @@
                 layers: spec.layers,
                 hidden_bytes: spec.hidden_bytes,
                 adapters: spec.adapters.clone(),
-                points: Vec::new(),
+                boundaries: Vec::new(),
                 segments: Vec::new(),
             };
             model.index(&holders, &table.entries, distances.own());
@@ -93,18 +94,18 @@
         table
     }
 
-    /// The model that `ask` names, if the ask is one that it can answer.
-    pub(super) fn model(&self, ask: &RouteRequest<'_>) -> Result<&Model, Refusal> {
-        let pipeline = || ask.pipeline.clone();
+    /// The model that `request` refers to, if its version and adapter exist.
+    pub(super) fn model(&self, request: &RouteRequest<'_>) -> Result<&Model, Refusal> {
+        let pipeline = || request.pipeline.clone();
         let versions = self
             .models
-            .get(ask.pipeline)
+            .get(request.pipeline)
             .ok_or_else(|| Refusal::UnknownPipeline { pipeline: pipeline() })?;
-        let model = versions.get(&ask.version).ok_or_else(|| Refusal::UnknownVersion {
+        let model = versions.get(&request.version).ok_or_else(|| Refusal::UnknownVersion {
             pipeline: pipeline(),
-            version: ask.version,
+            version: request.version,
         })?;
-        match ask.adapter {
+        match request.adapter {
             Some(adapter) if !model.adapters.contains(adapter) => {
                 Err(Refusal::UnknownAdapter { pipeline: pipeline(), adapter: adapter.clone() })
             }
@@ -114,19 +115,20 @@
 }
 
 impl Model {
-    /// Fills points and segments from the ranges that endpoints hold.
+    /// Builds boundaries and segments from the ranges that endpoints hold.
     fn index(&mut self, held: &[(u32, Layers)], entries: &[Entry], own: &Name) {
         let valid = held.iter().filter(|(_, layers)| layers.end() <= self.layers);
         let ranges: Vec<(u32, Layers)> = valid.copied().collect();
-        self.points = vec![0, self.layers];
-        self.points.extend(ranges.iter().flat_map(|(_, layers)| [layers.start(), layers.end()]));
-        self.points.sort_unstable();
-        self.points.dedup();
-        self.segments = self.points.windows(2).map(|_| Segment::default()).collect();
+        self.boundaries = vec![0, self.layers];
+        self.boundaries
+            .extend(ranges.iter().flat_map(|(_, layers)| [layers.start(), layers.end()]));
+        self.boundaries.sort_unstable();
+        self.boundaries.dedup();
+        self.segments = self.boundaries.windows(2).map(|_| Segment::default()).collect();
         let ranked = rank(ranges, entries, own, self);
         for (entry, layers) in ranked {
             let first = self.segment_at(layers.start());
-            let last = self.points.partition_point(|&point| point < layers.end());
+            let last = self.boundaries.partition_point(|&boundary| boundary < layers.end());
             let local = entries[entry as usize].domain == *own;
             for segment in &mut self.segments[first..last] {
                 segment.holders.push(Holder { entry, end: layers.end() });
@@ -135,20 +137,20 @@
         }
     }
 
-    /// Place of the segment that contains `layer`.
+    /// Index of the segment that contains `layer`.
     pub(super) fn segment_at(&self, layer: u16) -> usize {
-        self.points.partition_point(|&point| point <= layer) - 1
+        self.boundaries.partition_point(|&boundary| boundary <= layer) - 1
     }
 }
 
-/// Orders ranges by own failure domain first, then by cost when idle.
+/// Sorts ranges by own failure domain first, then by idle time per layer.
 fn rank(
     mut ranges: Vec<(u32, Layers)>,
     entries: &[Entry],
     own: &Name,
     model: &Model,
 ) -> Vec<(u32, Layers)> {
-    let ask = RouteRequest {
+    let request = RouteRequest {
         pipeline: own,
         version: 0,
         prompt_tokens: REFERENCE_PROMPT_TOKENS,
@@ -159,7 +161,7 @@
         avoid_domains: &[],
         kept: &[],
     };
-    let work = Work::new(&ask, model.layers, model.hidden_bytes, 0.0);
+    let work = Work::new(&request, model.layers, model.hidden_bytes, 0.0);
     ranges.sort_by_cached_key(|(entry, layers)| {
         let entry = &entries[*entry as usize];
         let idle = entry.speed.idle_us(&work, layers.count());
