--- a/mimosashift/examples/placement.rs
+++ b/mimosashift/examples/placement.rs
@@ -1,4 +1,4 @@
-//! Compares the policies for replacing lost copies over days of failures.
+//! Simulates days of failures to compare the policies for replacing lost copies.
 //!
 //! Run it with `cargo run -p mimosashift --example placement`.
 
@@ -16,10 +16,10 @@
 const DAYS: u64 = 10;
 /// Replicas of each of the four models; 1,000 in all.
 const REPLICAS: [u16; 4] = [700, 200, 80, 20];
-/// Stages of a replica, one accelerator each.
+/// Stages of a replica, each on one accelerator.
 const STAGES: usize = 4;
 const RANGES: usize = REPLICAS.len() * STAGES;
-/// Accelerators of one VM.
+/// Accelerators per VM.
 const VM_ACCELERATORS: usize = 4;
 const VMS: usize = 1_000;
 const RACK_VMS: usize = 25;
@@ -33,41 +33,41 @@
 const STAGE_GB: u64 = 20;
 const STORE_GB_PER_S: u64 = 5;
 const MAX_LOADS: u16 = 8;
-/// Endpoints that can hold one range beside their own.
+/// Endpoints that can hold one range in addition to their own.
 const SPARE_SLOTS: usize = 200;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Lost { vm: usize, down_s: u64 },
-    Noticed,
-    Back { vm: usize },
+    Detected,
+    Restored { vm: usize },
     Loaded { slot: Slot },
 }
 
-/// Where a copy is loaded to.
+/// Destination of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Slot {
     Own { accelerator: usize, epoch: u32 },
     Spare { range: usize },
 }
 
-/// Figures of one run.
+/// Results of one run.
 #[derive(Clone, Copy, Debug, Default)]
-struct Figures {
-    /// Copy-hours below those wanted.
+struct Results {
+    /// Copy-hours below the wanted number of copies.
     missing_copy_h: f64,
-    /// Range-hours with less than 90 % of the copies wanted.
+    /// Range-hours with less than 90 % of the wanted copies.
     short_range_h: f64,
     read_tb: f64,
     fewest_percent: u64,
 }
 
-struct Fleet {
+struct Simulation {
     policy: Policy,
     now: u64,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    /// Range of each accelerator.
-    home: Vec<usize>,
+    /// The range assigned to each accelerator.
+    assigned: Vec<usize>,
     live: Vec<bool>,
     down: Vec<u32>,
     epochs: Vec<u32>,
@@ -77,28 +77,28 @@
     queue: Vec<Slot>,
     loading: u16,
     store_free_at: u64,
-    figures: Figures,
+    results: Results,
 }
 
 fn wanted(range: usize) -> u16 {
     REPLICAS[range / STAGES]
 }
 
-impl Fleet {
+impl Simulation {
     fn new(policy: Policy, rng: &mut Pcg64Mcg) -> Self {
-        let mut home: Vec<usize> = (0..RANGES)
+        let mut assigned: Vec<usize> = (0..RANGES)
             .flat_map(|range| std::iter::repeat_n(range, wanted(range).into()))
             .collect();
-        for at in (1..home.len()).rev() {
-            home.swap(at, rng.random_range(0..=at));
+        for at in (1..assigned.len()).rev() {
+            assigned.swap(at, rng.random_range(0..=at));
         }
-        let accelerators = home.len();
+        let accelerators = assigned.len();
         assert_eq!(accelerators, VMS * VM_ACCELERATORS);
         Self {
             policy,
             now: 0,
             events: BinaryHeap::new(),
-            home,
+            assigned,
             live: vec![true; accelerators],
             down: vec![0; VMS],
             epochs: vec![0; accelerators],
@@ -108,12 +108,12 @@
             queue: Vec::new(),
             loading: 0,
             store_free_at: 0,
-            figures: Figures { fewest_percent: 100, ..Figures::default() },
+            results: Results { fewest_percent: 100, ..Results::default() },
         }
     }
 
-    /// Draws the failures; the same for each policy.
-    fn draw_failures(&mut self, rng: &mut Pcg64Mcg) {
+    /// Schedules random failures, the same ones for each policy.
+    fn schedule_failures(&mut self, rng: &mut Pcg64Mcg) {
         let kinds = [(VM_FAILURES_PER_DAY, FAILURE_S), (VM_RESTARTS_PER_DAY, RESTART_S)];
         for (per_day, down_s) in kinds {
             for _ in 0..per_day * DAYS {
@@ -122,7 +122,7 @@
                     .push(Reverse((rng.random_range(0..DAYS * DAY_S), Event::Lost { vm, down_s })));
             }
         }
-        // One rack loss falls into the days with the stated chance.
+        // At most one rack is lost, with the probability given by its rate.
         if rng.random_range(0..RACK_LOSS_PER_DAYS) < DAYS {
             let at = rng.random_range(0..DAYS * DAY_S);
             let first = rng.random_range(0..VMS / RACK_VMS) * RACK_VMS;
@@ -132,7 +132,7 @@
         }
     }
 
-    fn run(mut self) -> Figures {
+    fn run(mut self) -> Results {
         while let Some(Reverse((at, event))) = self.events.pop() {
             if at >= DAYS * DAY_S {
                 break;
@@ -143,7 +143,7 @@
             self.start_loads();
         }
         self.account(DAYS * DAY_S);
-        self.figures
+        self.results
     }
 
     fn copies(&self, range: usize) -> u16 {
@@ -154,16 +154,16 @@
         let hours = (until - self.now) as f64 / 3_600.0;
         for range in 0..RANGES {
             let (wanted, live) = (wanted(range), self.copies(range));
-            self.figures.missing_copy_h += f64::from(wanted.saturating_sub(live)) * hours;
+            self.results.missing_copy_h += f64::from(wanted.saturating_sub(live)) * hours;
             if live * 10 < wanted * 9 {
-                self.figures.short_range_h += hours;
+                self.results.short_range_h += hours;
             }
             let percent = u64::from(live) * 100 / u64::from(wanted);
-            self.figures.fewest_percent = self.figures.fewest_percent.min(percent);
+            self.results.fewest_percent = self.results.fewest_percent.min(percent);
         }
     }
 
-    fn after(&mut self, seconds: u64, event: Event) {
+    fn schedule(&mut self, seconds: u64, event: Event) {
         self.events.push(Reverse((self.now + seconds, event)));
     }
 
@@ -178,14 +178,14 @@
                 for accelerator in Self::accelerators(vm) {
                     self.epochs[accelerator] += 1;
                     if std::mem::replace(&mut self.live[accelerator], false) {
-                        self.own_live[self.home[accelerator]] -= 1;
+                        self.own_live[self.assigned[accelerator]] -= 1;
                     }
                 }
-                self.after(DETECT_S, Event::Noticed);
-                self.after(down_s, Event::Back { vm });
+                self.schedule(DETECT_S, Event::Detected);
+                self.schedule(down_s, Event::Restored { vm });
             }
-            Event::Noticed => self.replace_lost(),
-            Event::Back { vm } => {
+            Event::Detected => self.replace_lost(),
+            Event::Restored { vm } => {
                 self.down[vm] -= 1;
                 if self.down[vm] == 0 {
                     for accelerator in Self::accelerators(vm) {
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Orders copies on spare slots as the policy says.
+    /// Queues copies for spare slots according to the policy.
     fn replace_lost(&mut self) {
         let held = self.spares.iter().chain(&self.spare_loads).map(|n| usize::from(*n)).sum();
         let ranges: [Range; RANGES] = std::array::from_fn(|range| Range {
@@ -214,23 +214,23 @@
 
     fn range(&self, slot: Slot) -> usize {
         match slot {
-            Slot::Own { accelerator, .. } => self.home[accelerator],
+            Slot::Own { accelerator, .. } => self.assigned[accelerator],
             Slot::Spare { range } => range,
         }
     }
 
-    /// Starts loads within the store's limits, scarcest range first.
+    /// Starts loads within the store's limits, range with the lowest share of copies first.
     fn start_loads(&mut self) {
         while self.loading < MAX_LOADS && !self.queue.is_empty() {
-            let scarce = |slot: &Slot| {
+            let copy_share = |slot: &Slot| {
                 let range = self.range(*slot);
                 u32::from(self.copies(range)) * 1_000 / u32::from(wanted(range))
             };
-            let at = (0..self.queue.len()).min_by_key(|at| scarce(&self.queue[*at]));
+            let at = (0..self.queue.len()).min_by_key(|at| copy_share(&self.queue[*at]));
             let slot = self.queue.remove(at.expect("the queue is not empty"));
             self.loading += 1;
             self.store_free_at = self.store_free_at.max(self.now) + STAGE_GB / STORE_GB_PER_S;
-            self.figures.read_tb += STAGE_GB as f64 / 1_000.0;
+            self.results.read_tb += STAGE_GB as f64 / 1_000.0;
             self.events.push(Reverse((self.store_free_at, Event::Loaded { slot })));
         }
     }
@@ -243,7 +243,7 @@
                 self.spares[range] += 1;
             }
             Slot::Own { accelerator, epoch } if self.epochs[accelerator] == epoch => {
-                let range = self.home[accelerator];
+                let range = self.assigned[accelerator];
                 self.live[accelerator] = true;
                 self.own_live[range] += 1;
                 if self.copies(range) > wanted(range) && self.spares[range] > 0 {
@@ -268,16 +268,16 @@
         Policy::Below(80),
     ];
     for policy in policies {
-        let mut total = Figures { fewest_percent: 100, ..Figures::default() };
+        let mut total = Results { fewest_percent: 100, ..Results::default() };
         for seed in 0..SEEDS {
             let mut rng = Pcg64Mcg::seed_from_u64(seed);
-            let mut fleet = Fleet::new(policy, &mut rng);
-            fleet.draw_failures(&mut rng);
-            let figures = fleet.run();
-            total.missing_copy_h += figures.missing_copy_h;
-            total.short_range_h += figures.short_range_h;
-            total.read_tb += figures.read_tb;
-            total.fewest_percent = total.fewest_percent.min(figures.fewest_percent);
+            let mut simulation = Simulation::new(policy, &mut rng);
+            simulation.schedule_failures(&mut rng);
+            let results = simulation.run();
+            total.missing_copy_h += results.missing_copy_h;
+            total.short_range_h += results.short_range_h;
+            total.read_tb += results.read_tb;
+            total.fewest_percent = total.fewest_percent.min(results.fewest_percent);
         }
         writeln!(
             out,
--- a/mimosashift/examples/snapshot.rs
+++ b/mimosashift/examples/snapshot.rs
@@ -1,7 +1,7 @@
 //! Measures a snapshot of 31,000 teams and 4,000 endpoints.
 //!
-//! Prints the resident memory that it takes, what a further revision adds,
-//! and the time of each operation.
+//! Prints its resident memory, the memory that each further revision adds, and the
+//! time of each operation.
 
 use std::fs;
 use std::hint::black_box;
@@ -16,30 +16,34 @@
 const CHANGES: u64 = 1_000;
 const LOOKUPS: u64 = 100_000;
 
-/// Bytes of a page of memory, as `/proc/self/statm` counts.
+/// Size of a memory page, the unit of `/proc/self/statm`.
 const PAGE_BYTES: u64 = 4_096;
 
 fn main() -> io::Result<()> {
     let mut out = io::stdout().lock();
-    let before = resident()?;
+    let before = resident_bytes()?;
     let (snapshot, build) = timed(|| Snapshot::new(1, resources()));
-    let size = resident()? - before;
+    let size = resident_bytes()? - before;
     writeln!(out, "{} resources: {size} bytes resident, built in {build:?}", snapshot.len())?;
 
-    let before = resident()?;
+    let before = resident_bytes()?;
     let (kept, time) = timed(|| changes(&snapshot));
-    let added = (resident()? - before) / CHANGES;
-    writeln!(out, "a change: {:?}, {added} bytes for each revision kept", per(time, CHANGES))?;
+    let added = (resident_bytes()? - before) / CHANGES;
+    writeln!(
+        out,
+        "a change: {:?}, {added} bytes for each revision kept",
+        mean_time(time, CHANGES)
+    )?;
     drop(kept);
 
     let digests: Vec<_> = (0..LOOKUPS).map(|n| digest(n % TEAMS)).collect();
     let (found, time) =
         timed(|| digests.iter().filter(|digest| snapshot.team_of_token(digest).is_some()).count());
-    writeln!(out, "team of a token: {:?}, {found} found", per(time, LOOKUPS))?;
+    writeln!(out, "team of a token: {:?}, {found} found", mean_time(time, LOOKUPS))?;
     let (count, time) = timed(|| snapshot.list(Kind::Endpoint).count());
     writeln!(out, "list of {count} endpoints: {time:?}")?;
     let (_, time) = timed(|| (0..LOOKUPS).for_each(|_| drop(black_box(snapshot.clone()))));
-    writeln!(out, "clone: {:?}", per(time, LOOKUPS))
+    writeln!(out, "clone: {:?}", mean_time(time, LOOKUPS))
 }
 
 fn resources() -> impl Iterator<Item = Resource> {
@@ -70,11 +74,11 @@
     Resource { name, revision: 1, spec }
 }
 
-/// Snapshots of successive revisions, each changing one team.
+/// Creates snapshots of successive revisions, each of which changes one team.
 fn changes(first: &Snapshot) -> Vec<Snapshot> {
     let mut kept = vec![first.clone()];
     for n in 0..CHANGES {
-        let last = kept.last().expect("it holds the first");
+        let last = kept.last().expect("it contains the first snapshot");
         let name = Name::try_from(format!("team-{:05}", n * 31)).expect("the name is valid");
         let spec = first.get(Kind::Team, &name).map(|team| team.spec.clone());
         kept.push(last.with(n + 2, Kind::Team, &name, spec));
@@ -86,7 +90,7 @@
     Sha256::digest(n.to_le_bytes()).into()
 }
 
-fn resident() -> io::Result<u64> {
+fn resident_bytes() -> io::Result<u64> {
     let statm = fs::read_to_string("/proc/self/statm")?;
     let pages = statm.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok());
     pages.map(|pages| pages * PAGE_BYTES).ok_or_else(|| io::Error::other("statm has no pages"))
@@ -97,6 +101,6 @@
     (f(), start.elapsed())
 }
 
-fn per(time: Duration, count: u64) -> Duration {
+fn mean_time(time: Duration, count: u64) -> Duration {
     time / u32::try_from(count).unwrap_or(u32::MAX)
 }
