--- a/mimosabench/src/policy/router.rs
+++ b/mimosabench/src/policy/router.rs
@@ -7,7 +7,7 @@
 use mimosashift::engine::{Failure, RequestId, Step};
 use mimosashift::health::{self, Exchange, Registry, Standing, View};
 use mimosashift::pipeline::recovery::Cost;
-use mimosashift::pipeline::retry::{Budget, Share};
+use mimosashift::pipeline::retry::{Budget, BudgetSettings};
 use mimosashift::pipeline::{Context, Replacement, Request, Scope};
 use mimosashift::resource::{Name, Team};
 use mimosashift::route::affinity::{self, Affinity};
@@ -72,7 +72,7 @@
             waiting: HashMap::new(),
             table: Table::new(&fleet.snapshot, &distances, Settings::default()),
             affinity: Affinity::new(AFFINITY),
-            budget: Budget::new(Share::default(), Instant::ZERO),
+            budget: Budget::new(BudgetSettings::default(), Instant::ZERO),
             team: team(),
             teams: (0..TEAMS).map(|team| fleet::name(&format!("team-{team}"))).collect(),
             polls: 0,
--- a/mimosabench/src/slopes/relay.rs
+++ b/mimosabench/src/slopes/relay.rs
@@ -6,7 +6,7 @@
 use mimosashift::engine::http::{decode, encode};
 use mimosashift::engine::{Output, Reply, RequestId, Step};
 use mimosashift::pipeline::recovery::Cost;
-use mimosashift::pipeline::retry::{Budget, Share};
+use mimosashift::pipeline::retry::{Budget, BudgetSettings};
 use mimosashift::pipeline::{Action, Actions, Context, Limits, Machine, Request};
 use mimosashift::resource::Layers;
 use mimosashift::route::{Chain, Stage};
@@ -63,7 +63,7 @@
 fn run(prompt: usize, tokens: u32, hidden: usize) -> Run {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut now = Instant::from_millis(1);
-    let mut budget = Budget::new(Share::default(), now);
+    let mut budget = Budget::new(BudgetSettings::default(), now);
     let mut ctx = Context { now, rng: &mut rng, budget: &mut budget };
     let (mut machine, mut actions) =
         Machine::start(&mut ctx, request(prompt), chain(), cost(), Limits::default());
--- a/mimosashift/src/node/mod.rs
+++ b/mimosashift/src/node/mod.rs
@@ -23,7 +23,7 @@
 use crate::http::problem::Problem;
 use crate::http::{self, Handler, Server};
 use crate::meter::Meter;
-use crate::pipeline::retry::{Budget, Share};
+use crate::pipeline::retry::{Budget, BudgetSettings};
 use crate::platform::budget::Class;
 use crate::route::affinity::{self, Affinity};
 
@@ -199,7 +199,7 @@
             gate: Gate::new(bounds(&settings), clock),
             health: Mutex::new(Registry::new(health::Settings::default())),
             affinity: Mutex::new(Affinity::new(AFFINITY)),
-            budget: Mutex::new(Budget::new(Share::default(), clock.now())),
+            budget: Mutex::new(Budget::new(BudgetSettings::default(), clock.now())),
             settings,
         };
         Ok((node, work))
--- a/mimosashift/src/pipeline/retry.rs
+++ b/mimosashift/src/pipeline/retry.rs
@@ -30,7 +30,7 @@
 
 /// Settings of a [`Budget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct BudgetSettings {
     /// Retries allowed for each request, for example 0.2.
     pub per_request: f64,
     /// Retries allowed each second regardless of traffic.
@@ -45,14 +45,14 @@
 /// load on the rest. See `docs/design/pipeline.md`.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    share: Share,
+    share: BudgetSettings,
     tokens: f64,
     refilled: Instant,
 }
 
 impl Budget {
     /// Creates a full budget.
-    pub const fn new(share: Share, now: Instant) -> Self {
+    pub const fn new(share: BudgetSettings, now: Instant) -> Self {
         Self { share, tokens: share.burst, refilled: now }
     }
 
@@ -166,7 +166,7 @@
     }
 }
 
-impl Default for Share {
+impl Default for BudgetSettings {
     fn default() -> Self {
         Self { per_request: 0.2, per_second: 1.0, burst: 500.0 }
     }
--- a/mimosashift/tests/pipeline.rs
+++ b/mimosashift/tests/pipeline.rs
@@ -4,7 +4,7 @@
 
 use mimosashift::engine::{Failure, Label, Output, Reply, RequestId, Step};
 use mimosashift::pipeline::recovery::{Cost, Endpoints, InterruptedStep, Plan, plan};
-use mimosashift::pipeline::retry::{Budget, Share, backoff};
+use mimosashift::pipeline::retry::{Budget, BudgetSettings, backoff};
 use mimosashift::pipeline::{
     Action, Actions, Code, Context, DropReason, Effect, Limits, Machine, Outcome, Replacement,
     ReplyFilter, Request, Scope,
@@ -63,7 +63,7 @@
 }
 
 impl Harness {
-    fn new(max_tokens: u32, deadline: u64, share: Share) -> Self {
+    fn new(max_tokens: u32, deadline: u64, share: BudgetSettings) -> Self {
         let mut rng = Pcg64Mcg::new(7);
         let mut budget = Budget::new(share, Instant::ZERO);
         let mut ctx = Context { now: Instant::ZERO, rng: &mut rng, budget: &mut budget };
@@ -188,7 +188,7 @@
 #[test_case(&Failure::Leaving, Some(layers(4, 8)); "leaving moves layers")]
 #[test_case(&Failure::Malformed(String::new()), Some(layers(4, 8)); "malformed moves layers")]
 fn failure_while_decoding(failure: &Failure, moved: Option<Layers>) {
-    let mut harness = Harness::new(9, 60_000, Share::default());
+    let mut harness = Harness::new(9, 60_000, BudgetSettings::default());
     harness.answer_steps(4);
     harness.fail(failure, None);
     assert_eq!(harness.scope(), moved.map(Scope::Range));
@@ -201,7 +201,7 @@
 
 #[test]
 fn overloaded_endpoint_is_asked_again_then_replaced() {
-    let mut harness = Harness::new(9, 60_000, Share::default());
+    let mut harness = Harness::new(9, 60_000, BudgetSettings::default());
     harness.answer_steps(4);
     for _ in 0..2 {
         harness.fail(&Failure::Overloaded, None);
@@ -216,7 +216,8 @@
 
 #[test]
 fn duplicate_refusal_of_first_step_counts_once() {
-    let mut harness = Harness::new(9, 60_000, Share { burst: 1.0, ..Share::default() });
+    let mut harness =
+        Harness::new(9, 60_000, BudgetSettings { burst: 1.0, ..BudgetSettings::default() });
     let (endpoint, first) = harness.sent();
     harness.fail(&Failure::Overloaded, None);
     harness.wait();
@@ -270,7 +271,7 @@
 #[test_case(Some(Ok(())), 1 => (name("a"), 2); "wrong count")]
 #[test_case(None, 0 => (name("a"), 2); "lost")]
 fn copy_ends(result: Option<Result<(), Failure>>, extra: u32) -> (Name, u32) {
-    let mut harness = Harness::new(9, 60_000, Share::default());
+    let mut harness = Harness::new(9, 60_000, BudgetSettings::default());
     harness.answer_steps(4);
     harness.fail(&Failure::Leaving, None);
     harness.replace(chain(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)]), &["b"], 100);
@@ -292,7 +293,7 @@
 #[test_case(4; "first decode step")]
 #[test_case(22; "observed decode step")]
 fn silent_stage_is_replaced_within_a_second(steps: usize) {
-    let mut harness = Harness::new(90, 60_000, Share::default());
+    let mut harness = Harness::new(90, 60_000, BudgetSettings::default());
     harness.answer_steps(steps);
     let silent = harness.now;
     harness.wait();
@@ -306,7 +307,7 @@
 
 #[test]
 fn empty_budget_fails_immediately() {
-    let share = Share { per_request: 0.1, per_second: 2.0, burst: 0.5 };
+    let share = BudgetSettings { per_request: 0.1, per_second: 2.0, burst: 0.5 };
     let mut harness = Harness::new(9, 60_000, share);
     harness.fail(&Failure::Overloaded, None);
     let retry_after = Some(ms(250));
@@ -318,14 +319,14 @@
 
 #[test]
 fn short_retry_after_is_waited_for() {
-    let mut harness = Harness::new(9, 60_000, Share::default());
+    let mut harness = Harness::new(9, 60_000, BudgetSettings::default());
     harness.fail(&Failure::Overloaded, Some(ms(60)));
     assert!(harness.machine.next_deadline() >= Some(Instant::from_millis(60)));
 }
 
 #[test]
 fn long_retry_after_moves_the_request_and_is_kept() {
-    let mut harness = Harness::new(9, 60_000, Share::default());
+    let mut harness = Harness::new(9, 60_000, BudgetSettings::default());
     harness.fail(&Failure::Overloaded, Some(ms(5_000)));
     harness.wait();
     assert_eq!(harness.scope(), Some(Scope::Whole));
@@ -338,15 +339,15 @@
 fn request_out_of_time_fails_immediately() {
     let (code, effect) = (Code::OutOfTime, Effect::NotRun);
     let failed = Outcome::Failed { code, effect, retry_after: None };
-    assert_eq!(Harness::new(9, 30, Share::default()).outcome(), Some(&failed));
-    let mut harness = Harness::new(9, 120, Share::default());
+    assert_eq!(Harness::new(9, 30, BudgetSettings::default()).outcome(), Some(&failed));
+    let mut harness = Harness::new(9, 120, BudgetSettings::default());
     harness.fail(&Failure::Overloaded, Some(ms(90)));
     assert_eq!(harness.outcome(), Some(&failed));
 }
 
 #[test]
 fn sent_step_without_answer_is_unknown() {
-    let mut harness = Harness::new(9, 100, Share::default());
+    let mut harness = Harness::new(9, 100, BudgetSettings::default());
     harness.now = Instant::from_millis(100);
     harness.input(Machine::on_time);
     let effect = Effect::Unknown;
@@ -368,7 +369,7 @@
 /// without faults, when every request loses each of its stages with probability
 /// 1/3 in the middle of its completion and replacements come from the same
 /// endpoints.
-fn load_after_loss(share: Share) -> f64 {
+fn load_after_loss(share: BudgetSettings) -> f64 {
     let mut rng = Pcg64Mcg::seed_from_u64(11);
     let mut budget = Budget::new(share, Instant::ZERO);
     let (mut ran, mut baseline) = (0, 0);
@@ -399,11 +400,11 @@
 
 #[test]
 fn loss_of_a_third_multiplies_load_by_the_budget_at_most() {
-    let share = Share { per_request: 0.2, per_second: 1.0, burst: 10.0 };
+    let share = BudgetSettings { per_request: 0.2, per_second: 1.0, burst: 10.0 };
     // The accumulated burst and two seconds of the minimum rate are added.
     let bound = 1.0 + share.per_request + (share.burst + 2.0 * share.per_second) / 2_000.0;
     let load = load_after_loss(share);
-    let unbounded = load_after_loss(Share { burst: 1e9, ..share });
+    let unbounded = load_after_loss(BudgetSettings { burst: 1e9, ..share });
     eprintln!("load with budget {load:.3}, bound {bound:.3}, without budget {unbounded:.3}");
     assert!(load <= bound);
     assert!(unbounded > bound, "the test must be able to fail");
--- a/mimosashift/tests/pipeline_faults/main.rs
+++ b/mimosashift/tests/pipeline_faults/main.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use mimosashift::engine::RequestId;
-use mimosashift::pipeline::retry::{Budget, Share};
+use mimosashift::pipeline::retry::{Budget, BudgetSettings};
 use mimosashift::pipeline::{Context, Effect, HedgedRequest, Limits, Outcome, Request};
 use mimosashift::time::Instant;
 use rand::{RngExt, SeedableRng};
@@ -134,8 +134,8 @@
     if let Some(after) = schedule.cancel {
         world.enqueue(after, Event::Cancel);
     }
-    let share = Share { burst: schedule.burst, ..Share::default() };
-    let hedges = Budget::new(Share { burst: 10.0, ..share }, Instant::ZERO);
+    let share = BudgetSettings { burst: schedule.burst, ..BudgetSettings::default() };
+    let hedges = Budget::new(BudgetSettings { burst: 10.0, ..share }, Instant::ZERO);
     let mut budgets = Budgets { retries: Budget::new(share, Instant::ZERO), hedges };
     let mut ctx =
         Context { now: Instant::ZERO, rng: &mut Pcg64Mcg::new(1), budget: &mut budgets.retries };
--- a/mimosashift/tests/pipeline_hedge.rs
+++ b/mimosashift/tests/pipeline_hedge.rs
@@ -4,7 +4,7 @@
 
 use mimosashift::engine::{Failure, Label, Output, Reply, RequestId};
 use mimosashift::pipeline::recovery::Cost;
-use mimosashift::pipeline::retry::{Budget, Share};
+use mimosashift::pipeline::retry::{Budget, BudgetSettings};
 use mimosashift::pipeline::{
     Action, Actions, Context, DropReason, Effect, HedgedRequest, Limits, Outcome, Replacement,
     Request,
@@ -53,7 +53,7 @@
 impl Harness {
     fn new(retries: f64, hedges: f64) -> Self {
         let budget = |burst| {
-            let share = Share { per_request: 0.0, per_second: 0.1, burst };
+            let share = BudgetSettings { per_request: 0.0, per_second: 0.1, burst };
             Budget::new(share, Instant::ZERO)
         };
         let (mut rng, mut retries) = (Pcg64Mcg::new(1), budget(retries));
