--- a/mimosafront/src/front.rs
+++ b/mimosafront/src/front.rs
@@ -17,7 +17,7 @@
 use mimosashift::link::{self, Pool};
 use mimosashift::meter::Meter;
 use mimosashift::peer::Peers;
-use mimosashift::pipeline::retry::{Bound, Window};
+use mimosashift::pipeline::retry::{Window, WindowLimits};
 use mimosashift::time::Instant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -231,12 +231,12 @@
     }
 
     /// This router's share of the retries that the service allows all of them.
-    fn retry_bound(&self) -> Bound {
+    fn retry_bound(&self) -> WindowLimits {
         let bounds = self.node.borrow().bounds;
         let routers = self.peers.borrow().alive(clock::now()).count() + 1;
         self.most_routers.set(self.most_routers.get().max(routers));
         let sharers = (self.most_routers.get() as f64).max(MIN_SHARERS);
-        Bound {
+        WindowLimits {
             length: bounds.retry_window,
             per_request: bounds.retry_ratio,
             extra: bounds.extra_retries / sharers,
--- a/mimosashift/src/pipeline/retry.rs
+++ b/mimosashift/src/pipeline/retry.rs
@@ -88,7 +88,7 @@
 
 /// Limits of a [`Window`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct WindowLimits {
     /// Length of the window.
     pub length: Duration,
     /// Retries allowed for each request within it.
@@ -149,8 +149,8 @@
     }
 
     /// Takes one retry, if the window allows one.
-    pub fn take(&mut self, bound: &Bound, now: Instant) -> bool {
-        let Bound { length, per_request, extra } = *bound;
+    pub fn take(&mut self, bound: &WindowLimits, now: Instant) -> bool {
+        let WindowLimits { length, per_request, extra } = *bound;
         self.requests.evict(length, now);
         self.retries.evict(length + 2 * COUNT_MARGIN, now);
         let is_new = now.since(self.started) < length + COUNT_MARGIN;
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -8,7 +8,7 @@
 use mimosashift::currency::{Currency, Relayed};
 use mimosashift::deployment::{Denied, Deployment, Kind, Limits, Route, Service, Team};
 use mimosashift::peer::{Config, Digest, Event, Peers};
-use mimosashift::pipeline::retry::{Bound, Window};
+use mimosashift::pipeline::retry::{Window, WindowLimits};
 use mimosashift::stream::Events;
 use mimosashift::time::Instant;
 use proptest::prelude::*;
@@ -312,7 +312,7 @@
 #[test]
 fn retries_of_all_routers_stay_within_the_bound() {
     let (ratio, extra, routers, window) = (0.2, 200.0, 4_usize, 10_000);
-    let bound = Bound {
+    let bound = WindowLimits {
         length: Duration::from_millis(window),
         per_request: ratio,
         extra: extra / routers as f64,
