--- a/mimosabench/src/policy/run/mod.rs
+++ b/mimosabench/src/policy/run/mod.rs
@@ -393,7 +393,7 @@
         let call = &mut self.calls[number];
         let actions = match &mut call.driver {
             Driver::Machine { machine, .. } => {
-                machine.on_time(&mut self.routers[call.router].context(now))
+                machine.on_timer(&mut self.routers[call.router].context(now))
             }
             Driver::Naive(naive) if now >= call.request.deadline => naive.expire(self.plan.fleet),
             _ => Actions::new(),
--- a/mimosashift/src/node/relay.rs
+++ b/mimosashift/src/node/relay.rs
@@ -133,7 +133,7 @@
             }
             let next = machine.next_deadline().expect("a machine that has not finished waits");
             thread::sleep(next.since(self.node.clock.now()));
-            queue.extend(self.input(|context| machine.on_time(context)));
+            queue.extend(self.input(|context| machine.on_timer(context)));
         }
     }
 
--- a/mimosashift/src/pipeline/hedge.rs
+++ b/mimosashift/src/pipeline/hedge.rs
@@ -117,12 +117,12 @@
         self.merge(1, actions)
     }
 
-    /// See [`Machine::on_time`]; a second chain is charged to the budget `hedges`,
+    /// See [`Machine::on_timer`]; a second chain is charged to the budget `hedges`,
     /// which is separate from the retry budget.
-    pub fn on_time(&mut self, ctx: &mut Context<'_>, hedges: &mut Budget) -> Actions {
+    pub fn on_timer(&mut self, ctx: &mut Context<'_>, hedges: &mut Budget) -> Actions {
         let mut actions = Actions::new();
         for index in 0..self.machines.len() {
-            let more = self.machines[index].on_time(ctx);
+            let more = self.machines[index].on_timer(ctx);
             actions.extend(self.merge(index, more));
         }
         if matches!(self.state, State::Waiting(at) if ctx.now >= at) {
--- a/mimosashift/src/pipeline/machine/mod.rs
+++ b/mimosashift/src/pipeline/machine/mod.rs
@@ -286,7 +286,7 @@
 
     /// Handles the passing of time; must be called at [`Machine::next_deadline`]
     /// or later.
-    pub fn on_time(&mut self, ctx: &mut Context<'_>) -> Actions {
+    pub fn on_timer(&mut self, ctx: &mut Context<'_>) -> Actions {
         let mut actions = Actions::new();
         if self.finish_if_expired(ctx, &mut actions) {
             return actions;
@@ -321,7 +321,7 @@
         actions
     }
 
-    /// When [`Machine::on_time`] must be called next, or `None` if the request is
+    /// When [`Machine::on_timer`] must be called next, or `None` if the request is
     /// finished.
     pub fn next_deadline(&self) -> Option<Instant> {
         let next = match self.phase {
--- a/mimosashift/tests/pipeline.rs
+++ b/mimosashift/tests/pipeline.rs
@@ -130,7 +130,7 @@
 
     fn wait(&mut self) {
         self.now = self.machine.next_deadline().expect("the request is not over");
-        self.input(Machine::on_time);
+        self.input(Machine::on_timer);
     }
 
     fn replace(&mut self, chain: Chain, holders: &[&str], kv_bytes: u32) {
@@ -313,7 +313,7 @@
     let retry_after = Some(ms(250));
     let (code, effect) = (Code::RetryBudget, Effect::NotRun);
     assert_eq!(harness.outcome(), Some(&Outcome::Failed { code, effect, retry_after }));
-    harness.input(Machine::on_time);
+    harness.input(Machine::on_timer);
     assert!(harness.actions.is_empty());
 }
 
@@ -349,7 +349,7 @@
 fn sent_step_without_answer_is_unknown() {
     let mut harness = Harness::new(9, 100, BudgetSettings::default());
     harness.now = Instant::from_millis(100);
-    harness.input(Machine::on_time);
+    harness.input(Machine::on_timer);
     let effect = Effect::Unknown;
     assert_eq!(harness.outcome(), Some(&Outcome::DeadlineExceeded { effect }));
 }
--- a/mimosashift/tests/pipeline_faults/world.rs
+++ b/mimosashift/tests/pipeline_faults/world.rs
@@ -382,7 +382,7 @@
                 hedge.on_hedge(&mut ctx, replacement)
             }
             Event::Cancel => hedge.cancel(),
-            Event::Timer => hedge.on_time(&mut ctx, &mut budgets.hedges),
+            Event::Timer => hedge.on_timer(&mut ctx, &mut budgets.hedges),
         };
         self.act(actions);
     }
--- a/mimosashift/tests/pipeline_hedge.rs
+++ b/mimosashift/tests/pipeline_hedge.rs
@@ -100,7 +100,7 @@
     fn wait(&mut self) {
         self.now = self.hedge.next_deadline().expect("the request is not over");
         let mut ctx = Context { now: self.now, rng: &mut self.rng, budget: &mut self.retries };
-        let actions = self.hedge.on_time(&mut ctx, &mut self.hedges);
+        let actions = self.hedge.on_timer(&mut ctx, &mut self.hedges);
         self.take(actions);
     }
 
