--- a/mimosashift/src/node/relay.rs
+++ b/mimosashift/src/node/relay.rs
@@ -284,7 +284,7 @@
         if dropped > 0 {
             emit!(self.node.log, Event::ReplyDropped, "count" => dropped);
         }
-        Done { outcome, recovered: machine.recovered(), overloaded: self.overloaded }
+        Done { outcome, recovered: machine.recoveries(), overloaded: self.overloaded }
     }
 }
 
--- a/mimosashift/src/pipeline/hedge.rs
+++ b/mimosashift/src/pipeline/hedge.rs
@@ -167,8 +167,8 @@
     }
 
     /// Number of recoveries so far, on both chains.
-    pub fn recovered(&self) -> u32 {
-        self.machines.iter().map(Machine::recovered).sum()
+    pub fn recoveries(&self) -> u32 {
+        self.machines.iter().map(Machine::recoveries).sum()
     }
 
     /// Whether a second chain was started.
--- a/mimosashift/src/pipeline/machine/mod.rs
+++ b/mimosashift/src/pipeline/machine/mod.rs
@@ -350,7 +350,7 @@
     }
 
     /// Number of recoveries so far.
-    pub const fn recovered(&self) -> u32 {
+    pub const fn recoveries(&self) -> u32 {
         self.total_recoveries
     }
 
--- a/mimosashift/tests/pipeline_faults/main.rs
+++ b/mimosashift/tests/pipeline_faults/main.rs
@@ -197,7 +197,7 @@
         Outcome::Complete => {
             world.check(world.emitted == world.expected, "complete, but not whole");
             stats.completed += 1;
-            stats.recovered += u32::from(hedge.recovered() > 0);
+            stats.recovered += u32::from(hedge.recoveries() > 0);
         }
         Outcome::Cancelled => stats.cancelled += 1,
         Outcome::Failed { effect, .. } | Outcome::DeadlineExceeded { effect } => {
