--- a/mimosabench/src/policy/run/mod.rs
+++ b/mimosabench/src/policy/run/mod.rs
@@ -4,7 +4,7 @@
 
 use mimosashift::admit;
 use mimosashift::engine::{Failure, Label, Load, Output, Reply};
-use mimosashift::pipeline::{Action, Actions, Effect, Limits, Machine, Outcome, Request};
+use mimosashift::pipeline::{Action, Actions, Effect, Machine, Outcome, Request, TimeoutLimits};
 use mimosashift::time::Instant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -230,7 +230,7 @@
         };
         let cost = cost(fleet, &held.chain);
         let chain = held.chain.clone();
-        let limits = Limits::default();
+        let limits = TimeoutLimits::default();
         let (machine, actions) =
             Machine::start(&mut shell.context(now), request, chain, cost, limits);
         self.calls[number].driver = Driver::Machine { machine: Box::new(machine), held, ticket };
--- a/mimosabench/src/slopes/relay.rs
+++ b/mimosabench/src/slopes/relay.rs
@@ -7,7 +7,7 @@
 use mimosashift::engine::{Output, Reply, RequestId, Step};
 use mimosashift::pipeline::recovery::Cost;
 use mimosashift::pipeline::retry::{Budget, BudgetSettings};
-use mimosashift::pipeline::{Action, Actions, Context, Limits, Machine, Request};
+use mimosashift::pipeline::{Action, Actions, Context, Machine, Request, TimeoutLimits};
 use mimosashift::resource::Layers;
 use mimosashift::route::{Chain, Stage};
 use mimosashift::time::Instant;
@@ -66,7 +66,7 @@
     let mut budget = Budget::new(BudgetSettings::default(), now);
     let mut ctx = Context { now, rng: &mut rng, budget: &mut budget };
     let (mut machine, mut actions) =
-        Machine::start(&mut ctx, request(prompt), chain(), cost(), Limits::default());
+        Machine::start(&mut ctx, request(prompt), chain(), cost(), TimeoutLimits::default());
     let mut wire_bytes = 0;
     let mut emitted = 0;
     while emitted < tokens {
--- a/mimosashift/src/node/relay.rs
+++ b/mimosashift/src/node/relay.rs
@@ -19,7 +19,7 @@
 use crate::event::Event;
 use crate::health::{Exchange, Standing, View};
 use crate::pipeline::{
-    Action, Actions, Context, Limits, Machine, Outcome, Replacement, Request, Scope,
+    Action, Actions, Context, Machine, Outcome, Replacement, Request, Scope, TimeoutLimits,
 };
 use crate::resource::Name;
 use crate::route::{Ask, Chain, Choice, Refusal, Sources, Stage};
@@ -91,7 +91,7 @@
         let mut budget = node.lock_budget();
         let now = node.clock.now();
         let mut context = Context { now, rng: &mut relay.rng, budget: &mut budget };
-        Machine::start(&mut context, job.request, chain, cost, Limits::default())
+        Machine::start(&mut context, job.request, chain, cost, TimeoutLimits::default())
     };
     Ok(relay.drive(machine, actions, emit))
 }
--- a/mimosashift/src/pipeline/hedge.rs
+++ b/mimosashift/src/pipeline/hedge.rs
@@ -9,7 +9,7 @@
 use super::recovery::Cost;
 use super::reply_filter::{DropCounts, DropReason};
 use super::retry::Budget;
-use super::step_times::Limits;
+use super::step_times::TimeoutLimits;
 use crate::engine::{Failure, Label, Reply};
 use crate::resource::Name;
 use crate::route::Chain;
@@ -49,7 +49,7 @@
         request: Request,
         chain: Chain,
         cost: Cost,
-        limits: Limits,
+        limits: TimeoutLimits,
         delay: Option<Duration>,
     ) -> (Self, Actions) {
         let (machine, actions) = Machine::start(ctx, request, chain, cost, limits);
--- a/mimosashift/src/pipeline/machine/mod.rs
+++ b/mimosashift/src/pipeline/machine/mod.rs
@@ -8,7 +8,7 @@
 use super::recovery::{Cost, Transfer};
 use super::reply_filter::{DropCounts, ReplyFilter};
 use super::retry;
-use super::step_times::{Limits, StepTimes};
+use super::step_times::{StepTimes, TimeoutLimits};
 use crate::engine::{Failure, Input, Label, Output, Reply};
 use crate::resource::{Layers, Name};
 use crate::route::Chain;
@@ -128,7 +128,7 @@
         request: Request,
         chain: Chain,
         cost: Cost,
-        limits: Limits,
+        limits: TimeoutLimits,
     ) -> (Self, Actions) {
         let mut machine = Self::new(request, chain, cost, StepTimes::new(limits), 1, ctx.now);
         let mut actions = Actions::new();
--- a/mimosashift/src/pipeline/mod.rs
+++ b/mimosashift/src/pipeline/mod.rs
@@ -16,4 +16,4 @@
 pub use hedge::HedgedRequest;
 pub use machine::{Machine, Replacement};
 pub use reply_filter::{DropCounts, DropReason, ReplyFilter};
-pub use step_times::{Limits, StepTimes};
+pub use step_times::{StepTimes, TimeoutLimits};
--- a/mimosashift/src/pipeline/step_times.rs
+++ b/mimosashift/src/pipeline/step_times.rs
@@ -13,7 +13,7 @@
 
 /// Bounds of a step's timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct TimeoutLimits {
     /// Minimum timeout.
     pub floor: Duration,
     /// Maximum timeout of a step of one token.
@@ -27,14 +27,14 @@
 /// Observed step times of the stages of one request.
 #[derive(Clone, Debug)]
 pub struct StepTimes {
-    limits: Limits,
+    limits: TimeoutLimits,
     stages: SmallVec<[(Stage, Option<Duration>); 8]>,
     min_token_time: Option<Duration>,
 }
 
 impl StepTimes {
     /// Creates an instance without observations.
-    pub const fn new(limits: Limits) -> Self {
+    pub const fn new(limits: TimeoutLimits) -> Self {
         Self { limits, stages: SmallVec::new_const(), min_token_time: None }
     }
 
@@ -68,7 +68,7 @@
     /// Timeout of a step of one token. It doubles with each recovery that yields
     /// no token, so that a slow system is not mistaken for a failed stage forever.
     pub fn decode_timeout(&self, stage: usize, recoveries: u32) -> Duration {
-        let Limits { floor, ceiling, initial, factor } = self.limits;
+        let TimeoutLimits { floor, ceiling, initial, factor } = self.limits;
         let average = self.stages[stage].1;
         let timeout = average.map_or(initial, |average| average * factor).clamp(floor, ceiling);
         Self::doubled(timeout, recoveries)
@@ -85,7 +85,7 @@
     }
 }
 
-impl Default for Limits {
+impl Default for TimeoutLimits {
     fn default() -> Self {
         Self {
             floor: Duration::from_millis(400),
--- a/mimosashift/tests/pipeline.rs
+++ b/mimosashift/tests/pipeline.rs
@@ -6,8 +6,8 @@
 use mimosashift::pipeline::recovery::{Cost, Endpoints, InterruptedStep, Plan, plan};
 use mimosashift::pipeline::retry::{Budget, BudgetSettings, backoff};
 use mimosashift::pipeline::{
-    Action, Actions, Code, Context, DropReason, Effect, Limits, Machine, Outcome, Replacement,
-    ReplyFilter, Request, Scope,
+    Action, Actions, Code, Context, DropReason, Effect, Machine, Outcome, Replacement, ReplyFilter,
+    Request, Scope, TimeoutLimits,
 };
 use mimosashift::resource::{Layers, Name};
 use mimosashift::route::{Chain, Stage};
@@ -77,7 +77,7 @@
             adapter: None,
         };
         let (machine, actions) =
-            Machine::start(&mut ctx, request, abc(), cost(100), Limits::default());
+            Machine::start(&mut ctx, request, abc(), cost(100), TimeoutLimits::default());
         Self { now: Instant::ZERO, rng, budget, machine, actions }
     }
 
--- a/mimosashift/tests/pipeline_faults/main.rs
+++ b/mimosashift/tests/pipeline_faults/main.rs
@@ -7,7 +7,7 @@
 
 use mimosashift::engine::RequestId;
 use mimosashift::pipeline::retry::{Budget, BudgetSettings};
-use mimosashift::pipeline::{Context, Effect, HedgedRequest, Limits, Outcome, Request};
+use mimosashift::pipeline::{Context, Effect, HedgedRequest, Outcome, Request, TimeoutLimits};
 use mimosashift::time::Instant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -144,7 +144,7 @@
         schedule.request(),
         chain(first),
         cost(1_000),
-        Limits::default(),
+        TimeoutLimits::default(),
         schedule.hedge,
     );
     world.act(actions);
--- a/mimosashift/tests/pipeline_hedge.rs
+++ b/mimosashift/tests/pipeline_hedge.rs
@@ -6,8 +6,8 @@
 use mimosashift::pipeline::recovery::Cost;
 use mimosashift::pipeline::retry::{Budget, BudgetSettings};
 use mimosashift::pipeline::{
-    Action, Actions, Context, DropReason, Effect, HedgedRequest, Limits, Outcome, Replacement,
-    Request,
+    Action, Actions, Context, DropReason, Effect, HedgedRequest, Outcome, Replacement, Request,
+    TimeoutLimits,
 };
 use mimosashift::resource::{Layers, Name};
 use mimosashift::route::{Chain, Stage};
@@ -72,7 +72,7 @@
             request,
             chain("a", "b"),
             cost(),
-            Limits::default(),
+            TimeoutLimits::default(),
             Some(DELAY),
         );
         let (now, hedges) = (Instant::ZERO, budget(hedges));
