--- a/mimosabench/src/slopes/posting.rs
+++ b/mimosabench/src/slopes/posting.rs
@@ -1,7 +1,7 @@
 //! Postings: claims and records in grouped transactions.
 
 use mimosashift::platform::{Outcome, Transaction};
-use mimosashift::posting::batch::{LINGER, Member, Queue};
+use mimosashift::posting::batch::{BatchMember, LINGER, Queue};
 use mimosashift::posting::{
     Action, Actions, Body, Delivery, Digest, Machine, Nonce, Reply, Request, Settings, claim_key,
 };
@@ -65,7 +65,7 @@
 fn commit(machines: &mut [Machine], actions: Vec<Actions>, cost: &mut Cost) {
     let mut queue = Queue::default();
     for (tag, actions) in actions.into_iter().enumerate() {
-        queue.push(Member { tag, transaction: transaction(actions), repeat: false }, NOW);
+        queue.push(BatchMember { tag, transaction: transaction(actions), repeat: false }, NOW);
     }
     while let Some(batch) = queue.take(NOW + LINGER) {
         let grouped = serde_json::to_string(&batch.transaction());
--- a/mimosashift/src/node/postings/committer.rs
+++ b/mimosashift/src/node/postings/committer.rs
@@ -7,7 +7,7 @@
 use crate::node::clock::Clock;
 use crate::node::platform::Guard;
 use crate::platform::{Outcome, Refusal};
-use crate::posting::batch::{Batch, Member, Queue};
+use crate::posting::batch::{Batch, BatchMember, Queue};
 
 /// Time between two looks at the budget while there is none.
 const BUDGET_INTERVAL: Duration = Duration::from_millis(5);
@@ -30,7 +30,7 @@
     queue: Queue<u64>,
     /// Parts of earlier batches that are to be committed again.
     rest: Vec<Batch<u64>>,
-    writes: Receiver<Member<u64>>,
+    writes: Receiver<BatchMember<u64>>,
     outcomes: Sender<Committed>,
 }
 
@@ -39,7 +39,7 @@
     pub fn new(
         guard: Guard,
         clock: Clock,
-        writes: Receiver<Member<u64>>,
+        writes: Receiver<BatchMember<u64>>,
         outcomes: Sender<Committed>,
     ) -> Self {
         Self { guard, clock, queue: Queue::default(), rest: Vec::new(), writes, outcomes }
--- a/mimosashift/src/node/postings/driver.rs
+++ b/mimosashift/src/node/postings/driver.rs
@@ -13,7 +13,7 @@
 use crate::event::{Event, Logger};
 use crate::node::clock::Clock;
 use crate::platform::{Outcome, Refusal};
-use crate::posting::batch::Member;
+use crate::posting::batch::BatchMember;
 use crate::posting::{Action, Actions, Answer, Delivery, Machine, Request, Settings};
 use crate::time::Instant;
 
@@ -55,7 +55,7 @@
     tries: HashMap<u64, Try>,
     /// When each try wants to be woken.
     wakes: BTreeSet<(Instant, u64)>,
-    writes: Sender<Member<u64>>,
+    writes: Sender<BatchMember<u64>>,
     unsettled: Arc<AtomicUsize>,
 }
 
@@ -72,7 +72,7 @@
     pub fn new(
         clock: Clock,
         log: Logger,
-        writes: Sender<Member<u64>>,
+        writes: Sender<BatchMember<u64>>,
         unsettled: Arc<AtomicUsize>,
     ) -> Self {
         let (tries, wakes) = (HashMap::new(), BTreeSet::new());
@@ -149,7 +149,7 @@
         for action in actions {
             match action {
                 Action::Commit { transaction, repeat } => {
-                    let _ = self.writes.send(Member { tag: id, transaction, repeat });
+                    let _ = self.writes.send(BatchMember { tag: id, transaction, repeat });
                 }
                 Action::Send { before } => {
                     posting.note_claimed(&self.log);
--- a/mimosashift/src/posting/batch.rs
+++ b/mimosashift/src/posting/batch.rs
@@ -17,7 +17,7 @@
 
 /// The write of one call; `T` identifies the call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Member<T> {
+pub struct BatchMember<T> {
     /// Identifies the call that the write belongs to.
     pub tag: T,
     /// The write with its precondition.
@@ -29,7 +29,7 @@
 /// Writes that wait for the next batch.
 #[derive(Clone, Debug)]
 pub struct Queue<T> {
-    waiting: VecDeque<(Instant, Member<T>)>,
+    waiting: VecDeque<(Instant, BatchMember<T>)>,
     max_members: usize,
     linger: Duration,
 }
@@ -37,7 +37,7 @@
 /// Writes that are committed together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch<T> {
-    members: Vec<Member<T>>,
+    members: Vec<BatchMember<T>>,
     /// Whether a transaction with all members may have taken effect.
     uncertain: bool,
     repeats_left: u8,
@@ -62,7 +62,7 @@
     }
 
     /// Adds a write.
-    pub fn push(&mut self, member: Member<T>, now: Instant) {
+    pub fn push(&mut self, member: BatchMember<T>, now: Instant) {
         self.waiting.push_back((now, member));
     }
 
@@ -83,7 +83,7 @@
         if self.due_at()? > now {
             return None;
         }
-        let mut members: Vec<Member<T>> = Vec::new();
+        let mut members: Vec<BatchMember<T>> = Vec::new();
         let mut deferred = VecDeque::new();
         for (since, member) in self.waiting.drain(..) {
             let shares_row = members.iter().any(|m| m.shares_row(&member));
@@ -98,7 +98,7 @@
     }
 }
 
-impl<T> Member<T> {
+impl<T> BatchMember<T> {
     fn shares_row(&self, other: &Self) -> bool {
         self.rows().any(|key| other.rows().any(|k| k == key))
     }
@@ -171,7 +171,7 @@
     /// A transaction is atomic: when the row shows that an earlier commit of
     /// this batch wrote it, that commit wrote the rows of all members.
     fn settle_conflict(mut self, row: Row) -> BatchOutcome<T> {
-        let conflicts = |m: &Member<T>| m.rows().any(|key| *key == row.key);
+        let conflicts = |m: &BatchMember<T>| m.rows().any(|key| *key == row.key);
         let Some(index) = self.members.iter().position(conflicts) else {
             return self.settle_all(&Outcome::Unknown);
         };
--- a/mimosashift/tests/common/posting_sim.rs
+++ b/mimosashift/tests/common/posting_sim.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mimosashift::platform::{Key, Outcome, Refusal, Transaction};
-use mimosashift::posting::batch::{Batch, Member, Queue};
+use mimosashift::posting::batch::{Batch, BatchMember, Queue};
 use mimosashift::posting::{
     Action, Actions, Answer, Body, Delivery, Digest, Machine, Nonce, Reply, Request, Settings,
     TABLE,
@@ -199,7 +199,7 @@
             match action {
                 Action::Commit { transaction, repeat } => {
                     let router = self.attempts[attempt].router;
-                    let member = Member { tag: attempt, transaction, repeat };
+                    let member = BatchMember { tag: attempt, transaction, repeat };
                     self.queues[router].push(member, self.now);
                     let due = self.queues[router].due_at().unwrap().max(self.now);
                     self.at(due, Event::Flush(router));
--- a/mimosashift/tests/posting.rs
+++ b/mimosashift/tests/posting.rs
@@ -12,7 +12,7 @@
 use mimosashift::platform::breaker::{self, Breaker};
 use mimosashift::platform::budget::{Budget, Class};
 use mimosashift::platform::{Check, Key, Outcome, Refusal, Row, Transaction, Write};
-use mimosashift::posting::batch::{Batch, Member, Queue};
+use mimosashift::posting::batch::{Batch, BatchMember, Queue};
 use mimosashift::posting::resolve::{self, Verdict};
 use mimosashift::posting::{
     Action, Answer, Body, Delivery, Digest, Entry, MAX_RECORDED_BODY_BYTES, Machine, Nonce, Reply,
@@ -136,7 +136,7 @@
     assert!(executed_twice > 0);
 }
 
-fn members(count: usize) -> Vec<Member<usize>> {
+fn members(count: usize) -> Vec<BatchMember<usize>> {
     let member = |tag: usize| {
         let digest = Digest::new("POST", "/", b"");
         let request = Request {
@@ -149,12 +149,12 @@
         let Some(Action::Commit { transaction, repeat }) = actions.pop() else {
             panic!("no claim")
         };
-        Member { tag, transaction, repeat }
+        BatchMember { tag, transaction, repeat }
     };
     (0..count).map(member).collect()
 }
 
-fn batch(members: Vec<Member<usize>>) -> Batch<usize> {
+fn batch(members: Vec<BatchMember<usize>>) -> Batch<usize> {
     let mut queue = Queue::new(members.len(), Duration::from_millis(3));
     for member in members {
         queue.push(member, NOW);
