--- a/mimosashift/src/node/postings/operate.rs
+++ b/mimosashift/src/node/postings/operate.rs
@@ -10,7 +10,7 @@
 use crate::node::platform::Guard;
 use crate::platform::budget::Class;
 use crate::platform::{Key, Outcome, Refusal, Row, Table, Write};
-use crate::posting::resolve::{self, Verdict};
+use crate::posting::resolve::{self, Resolution};
 use crate::posting::{Entry, TABLE};
 
 /// Table of the audit records of postings.
@@ -85,7 +85,7 @@
     let record = Record { operator, at_unix_ms: unix_ms, key: &finding.key, ran: finding.ran };
     let value = serde_json::to_string(&record).expect("a record has only string keys");
     let audit = Write::Put(Key { table: AUDIT_TABLE.to_owned(), key: id.clone() }, value);
-    let verdict = if finding.ran { Verdict::Ran } else { Verdict::NotRun };
+    let verdict = if finding.ran { Resolution::Ran } else { Resolution::NotRun };
     let transaction = resolve::resolve(&row, verdict, audit, unix_ms).map_err(|e| refused(&e))?;
     match guard.commit(&transaction) {
         Outcome::Done(_) => Ok(resolved(&id, &finding)),
--- a/mimosashift/src/posting/resolve.rs
+++ b/mimosashift/src/posting/resolve.rs
@@ -13,7 +13,7 @@
 
 /// How an operator resolves a claim whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Resolution {
     /// The call ran; its key cannot be reused.
     Ran,
     /// The call did not run; its key may be reused.
@@ -45,7 +45,7 @@
 /// appends the `audit` record.
 pub fn resolve(
     row: &Row,
-    verdict: Verdict,
+    resolution: Resolution,
     audit: Write,
     unix_ms: u64,
 ) -> Result<Transaction, Error> {
@@ -57,9 +57,9 @@
     if age < MIN_RESOLVE_AGE {
         return Err(Error::TooRecent(row.key.key.clone(), age));
     }
-    let state = match verdict {
-        Verdict::Ran => State::Ran,
-        Verdict::NotRun => State::Released,
+    let state = match resolution {
+        Resolution::Ran => State::Ran,
+        Resolution::NotRun => State::Released,
     };
     let value = Entry { state, ..entry }.encode();
     Ok(Transaction {
--- a/mimosashift/tests/common/posting_world.rs
+++ b/mimosashift/tests/common/posting_world.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use mimosashift::platform::{Check, Key, Outcome, Refusal, Row, Write};
-use mimosashift::posting::resolve::{MIN_RESOLVE_AGE, Verdict, resolve};
+use mimosashift::posting::resolve::{MIN_RESOLVE_AGE, Resolution, resolve};
 use mimosashift::posting::{
     Action, Actions, Answer, Body, Delivery, Digest, Entry, Machine, Nonce, Reply, Request,
     Settings, State, TABLE,
@@ -300,10 +300,10 @@
             return None;
         }
         let ran = self.executed.contains(&owner);
-        let verdict = if ran { Verdict::Ran } else { Verdict::NotRun };
+        let resolution = if ran { Resolution::Ran } else { Resolution::NotRun };
         let age = u64::try_from(MIN_RESOLVE_AGE.as_millis()).unwrap();
         let audit = Write::Delete(key());
-        let transaction = resolve(&row, verdict, audit, age).ok()?;
+        let transaction = resolve(&row, resolution, audit, age).ok()?;
         let Write::Put(_, value) = &transaction.writes[0] else { panic!("a put expected") };
         let mut next = self.clone();
         next.left.resolves -= 1;
--- a/mimosashift/tests/posting.rs
+++ b/mimosashift/tests/posting.rs
@@ -13,7 +13,7 @@
 use mimosashift::platform::budget::{Budget, Class};
 use mimosashift::platform::{Check, Key, Outcome, Refusal, Row, Transaction, Write};
 use mimosashift::posting::batch::{Batch, BatchMember, Queue};
-use mimosashift::posting::resolve::{self, Verdict};
+use mimosashift::posting::resolve::{self, Resolution};
 use mimosashift::posting::{
     Action, Answer, Body, Delivery, Digest, Entry, MAX_RECORDED_BODY_BYTES, Machine, Nonce, Reply,
     Request, Settings, State, TABLE, claim_key,
@@ -321,7 +321,7 @@
     let audit = Write::Put(Key { table: "audit".to_owned(), key: "1".to_owned() }, "{}".to_owned());
     let old = u64::try_from(resolve::MIN_RESOLVE_AGE.as_millis()).unwrap();
     let claimed = row("k", State::Claimed);
-    let resolve = |row, at| resolve::resolve(row, Verdict::NotRun, audit.clone(), at);
+    let resolve = |row, at| resolve::resolve(row, Resolution::NotRun, audit.clone(), at);
     assert!(matches!(resolve(&claimed, old - 1), Err(resolve::Error::TooRecent(..))));
     let transaction = resolve(&claimed, old).unwrap();
     assert_eq!(transaction.checks, [Check::Revision(key("k"), 7)]);
