--- a/mimosabench/src/policy/naive.rs
+++ b/mimosabench/src/policy/naive.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use mimosashift::engine::{Input, Label, Output, Step};
-use mimosashift::pipeline::{Action, Actions, Code, Effect, Outcome, Request};
+use mimosashift::pipeline::{Action, Actions, Effect, FailureCode, Outcome, Request};
 use mimosashift::resource::Name;
 
 use super::fleet::{Fleet, STAGES, VERSION};
@@ -85,7 +85,7 @@
             return actions;
         }
         if self.attempt >= TRIES {
-            let (code, effect) = (Code::NoChain, Effect::Unknown);
+            let (code, effect) = (FailureCode::NoChain, Effect::Unknown);
             let outcome = Outcome::Failed { code, effect, retry_after: None };
             self.finish(fleet, outcome, &mut actions);
             return actions;
--- a/mimosashift/src/node/outcome.rs
+++ b/mimosashift/src/node/outcome.rs
@@ -7,7 +7,7 @@
 use crate::admit;
 use crate::http::problem::{Effect, Problem};
 use crate::meter;
-use crate::pipeline::{self, Code, Outcome};
+use crate::pipeline::{self, FailureCode, Outcome};
 use crate::route::Refusal;
 
 /// Time after which a chain that is missing now may be there.
@@ -64,21 +64,21 @@
     Some(problem)
 }
 
-const fn failed(code: Code) -> (StatusCode, &'static str, &'static str) {
+const fn failed(code: FailureCode) -> (StatusCode, &'static str, &'static str) {
     match code {
-        Code::NoChain => {
+        FailureCode::NoChain => {
             let detail = "no live endpoints hold every layer of the model";
             (StatusCode::SERVICE_UNAVAILABLE, "no-chain", detail)
         }
-        Code::RetryBudget => {
+        FailureCode::RetryBudget => {
             let detail = "a stage failed and the retry budget is used up";
             (StatusCode::BAD_GATEWAY, "stage-failed", detail)
         }
-        Code::OutOfTime => {
+        FailureCode::OutOfTime => {
             let detail = "a stage failed and too little time is left to recover";
             (StatusCode::GATEWAY_TIMEOUT, "deadline-exceeded", detail)
         }
-        Code::EmptyPrompt => (StatusCode::BAD_REQUEST, "invalid", "the prompt is empty"),
+        FailureCode::EmptyPrompt => (StatusCode::BAD_REQUEST, "invalid", "the prompt is empty"),
     }
 }
 
--- a/mimosashift/src/pipeline/action.rs
+++ b/mimosashift/src/pipeline/action.rs
@@ -113,7 +113,7 @@
     /// The request failed.
     Failed {
         /// Cause of the failure.
-        code: Code,
+        code: FailureCode,
         /// Whether any part of the request ran.
         effect: Effect,
         /// Time after which a retry may succeed.
@@ -130,7 +130,7 @@
 
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Code {
+pub enum FailureCode {
     /// No available chain can run the layers.
     NoChain,
     /// The retry budget is exhausted.
--- a/mimosashift/src/pipeline/machine/finish.rs
+++ b/mimosashift/src/pipeline/machine/finish.rs
@@ -4,7 +4,7 @@
 
 use super::{Execution, Machine, Phase, UsedEndpoint};
 use crate::engine::RequestId;
-use crate::pipeline::action::{Action, Actions, Code, Context, Effect, Outcome};
+use crate::pipeline::action::{Action, Actions, Context, Effect, FailureCode, Outcome};
 
 impl Machine {
     /// Finishes the request if its deadline has passed. Returns whether the
@@ -23,7 +23,7 @@
 
     pub(super) fn fail(
         &mut self,
-        code: Code,
+        code: FailureCode,
         retry_after: Option<Duration>,
         actions: &mut Actions,
     ) {
@@ -32,7 +32,7 @@
     }
 
     /// Fails a request before anything was sent.
-    pub(super) fn fail_before_send(&self, code: Code, actions: &mut Actions) {
+    pub(super) fn fail_before_send(&self, code: FailureCode, actions: &mut Actions) {
         let effect = Effect::NotRun;
         actions.push(Action::Finish(Outcome::Failed { code, effect, retry_after: None }));
     }
--- a/mimosashift/src/pipeline/machine/mod.rs
+++ b/mimosashift/src/pipeline/machine/mod.rs
@@ -4,7 +4,7 @@
 
 use smallvec::SmallVec;
 
-use super::action::{Actions, Code, Context, Outcome, Request};
+use super::action::{Actions, Context, FailureCode, Outcome, Request};
 use super::recovery::{Cost, Transfer};
 use super::reply_filter::{DropCounts, ReplyFilter};
 use super::retry;
@@ -246,7 +246,7 @@
             return actions;
         }
         if ctx.now.since(since) >= CHAIN_SEARCH_TIMEOUT {
-            self.fail(Code::NoChain, Some(AVOID_PERIOD), &mut actions);
+            self.fail(FailureCode::NoChain, Some(AVOID_PERIOD), &mut actions);
             return actions;
         }
         let pause = MIN_CHAIN_SEARCH_PAUSE + retry::backoff(searches, None, ctx.rng);
--- a/mimosashift/src/pipeline/machine/recover.rs
+++ b/mimosashift/src/pipeline/machine/recover.rs
@@ -8,7 +8,7 @@
     AVOID_PERIOD, Execution, Machine, PendingStep, Phase, Recovery, Replacement, UsedEndpoint,
 };
 use crate::engine::Failure;
-use crate::pipeline::action::{Action, Actions, Code, Context, Scope};
+use crate::pipeline::action::{Action, Actions, Context, FailureCode, Scope};
 use crate::pipeline::recovery::{self, Endpoints, InterruptedStep, Plan, Transfer};
 use crate::pipeline::retry;
 use crate::resource::{Layers, Name};
@@ -45,10 +45,10 @@
         self.total_recoveries += 1;
         let earliest = ctx.now + pause;
         if earliest + self.min_recovery_time(recovery) >= self.request.deadline {
-            return self.fail(Code::OutOfTime, None, actions);
+            return self.fail(FailureCode::OutOfTime, None, actions);
         }
         if let Err(wait) = ctx.budget.take(ctx.now) {
-            return self.fail(Code::RetryBudget, Some(wait), actions);
+            return self.fail(FailureCode::RetryBudget, Some(wait), actions);
         }
         if immediate {
             return self.start_recovery(ctx, recovery, actions);
@@ -180,7 +180,7 @@
             Plan::Rebuild => self.cost.prefill_time(prefix_len),
         };
         if ctx.now + expected + self.min_completion_time() > self.request.deadline {
-            return self.fail(Code::OutOfTime, None, actions);
+            return self.fail(FailureCode::OutOfTime, None, actions);
         }
         self.overloads = 0;
         let layer = self.chain.stages()[self.step.stage].layers.start();
--- a/mimosashift/src/pipeline/machine/step.rs
+++ b/mimosashift/src/pipeline/machine/step.rs
@@ -4,16 +4,16 @@
 
 use super::{Execution, Machine, PendingStep, Phase, UsedEndpoint};
 use crate::engine::{Label, Step};
-use crate::pipeline::action::{Action, Actions, Code, Context, Outcome};
+use crate::pipeline::action::{Action, Actions, Context, FailureCode, Outcome};
 use crate::resource::{Layers, Name};
 
 impl Machine {
     pub(super) fn send_first_step(&mut self, ctx: &mut Context<'_>, actions: &mut Actions) {
         if self.request.prompt.is_empty() {
-            return self.fail_before_send(Code::EmptyPrompt, actions);
+            return self.fail_before_send(FailureCode::EmptyPrompt, actions);
         }
         if ctx.now + self.cost.prefill_time(self.prefix_len()) > self.request.deadline {
-            return self.fail_before_send(Code::OutOfTime, actions);
+            return self.fail_before_send(FailureCode::OutOfTime, actions);
         }
         if self.request.max_tokens == 0 {
             actions.push(Action::Finish(Outcome::Complete));
@@ -54,7 +54,7 @@
             return self.finish(Outcome::Complete, actions);
         }
         if ctx.now + self.min_completion_time() > self.request.deadline {
-            return self.fail(Code::OutOfTime, None, actions);
+            return self.fail(FailureCode::OutOfTime, None, actions);
         }
         self.token_started = ctx.now;
         self.step = PendingStep::decode(self.prefix_len() - 1, token);
--- a/mimosashift/src/pipeline/mod.rs
+++ b/mimosashift/src/pipeline/mod.rs
@@ -12,7 +12,7 @@
 pub mod retry;
 mod step_times;
 
-pub use action::{Action, Actions, Code, Context, Effect, Outcome, Request, Scope};
+pub use action::{Action, Actions, Context, Effect, FailureCode, Outcome, Request, Scope};
 pub use hedge::HedgedRequest;
 pub use machine::{Machine, Replacement};
 pub use reply_filter::{DropCounts, DropReason, ReplyFilter};
--- a/mimosashift/tests/pipeline.rs
+++ b/mimosashift/tests/pipeline.rs
@@ -6,8 +6,8 @@
 use mimosashift::pipeline::recovery::{Cost, Endpoints, InterruptedStep, Plan, plan};
 use mimosashift::pipeline::retry::{Budget, BudgetSettings, backoff};
 use mimosashift::pipeline::{
-    Action, Actions, Code, Context, DropReason, Effect, Machine, Outcome, Replacement, ReplyFilter,
-    Request, Scope, TimeoutLimits,
+    Action, Actions, Context, DropReason, Effect, FailureCode, Machine, Outcome, Replacement,
+    ReplyFilter, Request, Scope, TimeoutLimits,
 };
 use mimosashift::resource::{Layers, Name};
 use mimosashift::route::{Chain, Stage};
@@ -311,7 +311,7 @@
     let mut harness = Harness::new(9, 60_000, share);
     harness.fail(&Failure::Overloaded, None);
     let retry_after = Some(ms(250));
-    let (code, effect) = (Code::RetryBudget, Effect::NotRun);
+    let (code, effect) = (FailureCode::RetryBudget, Effect::NotRun);
     assert_eq!(harness.outcome(), Some(&Outcome::Failed { code, effect, retry_after }));
     harness.input(Machine::on_timer);
     assert!(harness.actions.is_empty());
@@ -337,7 +337,7 @@
 
 #[test]
 fn request_out_of_time_fails_immediately() {
-    let (code, effect) = (Code::OutOfTime, Effect::NotRun);
+    let (code, effect) = (FailureCode::OutOfTime, Effect::NotRun);
     let failed = Outcome::Failed { code, effect, retry_after: None };
     assert_eq!(Harness::new(9, 30, BudgetSettings::default()).outcome(), Some(&failed));
     let mut harness = Harness::new(9, 120, BudgetSettings::default());
