--- a/mimosashift/src/pipeline/machine/mod.rs
+++ b/mimosashift/src/pipeline/machine/mod.rs
@@ -93,8 +93,8 @@
     Running { sent: Instant, until: Instant },
     /// Waiting before the next retry.
     Backoff { until: Instant, recovery: Recovery },
-    /// A chain was requested; `retry_at` is the time of the next request if the last
-    /// one found none.
+    /// A chain was requested; `retry_at` is the time of the next request if the
+    /// last one found none.
     Choosing { lost: Layers, since: Instant, retry_at: Option<Instant>, searches: u32 },
     /// The first of these transfers is in flight.
     Importing { transfers: SmallVec<[Transfer; 2]>, until: Instant },
--- a/mimosashift/src/pipeline/machine/recover.rs
+++ b/mimosashift/src/pipeline/machine/recover.rs
@@ -191,7 +191,8 @@
             Plan::Resume(transfers) => {
                 let stages = self.chain.stages();
                 let stage = stages.iter().position(|stage| stage.layers.start() == layer);
-                self.step.stage = stage.expect("a plan to resume starts a stage at the layer");
+                self.step.stage =
+                    stage.expect("a resume plan has a stage that starts at the interrupted layer");
                 self.resume(ctx, transfers, actions);
             }
         }
--- a/mimosashift/src/pipeline/machine/step.rs
+++ b/mimosashift/src/pipeline/machine/step.rs
@@ -72,9 +72,9 @@
     /// Expected prefill time of the current stage, by its share of the layers.
     fn stage_prefill_time(&self) -> Duration {
         let stages = self.chain.stages();
-        let held = u32::from(stages[self.step.stage].layers.count());
-        let all: u32 = stages.iter().map(|stage| u32::from(stage.layers.count())).sum();
-        self.cost.prefill_time(self.step.count).saturating_mul(held) / all
+        let stage_layers = u32::from(stages[self.step.stage].layers.count());
+        let total_layers: u32 = stages.iter().map(|stage| u32::from(stage.layers.count())).sum();
+        self.cost.prefill_time(self.step.count).saturating_mul(stage_layers) / total_layers
     }
 
     pub(super) fn label(&self, layers: Layers, position: u32, count: u32) -> Label {
--- a/mimosashift/src/pipeline/retry.rs
+++ b/mimosashift/src/pipeline/retry.rs
@@ -22,7 +22,7 @@
 const COUNT_MARGIN: Duration = Duration::from_millis(500);
 
 /// Share of the extra retries that a restarted router may use in its first
-/// window, so that it and its previous process together keep the bound.
+/// window, so that it and its previous process together stay within the limit.
 const FIRST_WINDOW_SHARE: f64 = 1.0 / 3.0;
 
 /// Share of the extra retries that may be used in later windows.
@@ -45,21 +45,21 @@
 /// load on the rest. See `docs/design/pipeline.md`.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    share: BudgetSettings,
+    settings: BudgetSettings,
     tokens: f64,
     refilled: Instant,
 }
 
 impl Budget {
     /// Creates a full budget.
-    pub const fn new(share: BudgetSettings, now: Instant) -> Self {
-        Self { share, tokens: share.burst, refilled: now }
+    pub const fn new(settings: BudgetSettings, now: Instant) -> Self {
+        Self { settings, tokens: settings.burst, refilled: now }
     }
 
     /// Adds the share of one new request.
     pub fn on_request(&mut self, now: Instant) {
         self.refill(now);
-        self.add(self.share.per_request);
+        self.add(self.settings.per_request);
     }
 
     /// Takes one retry, or returns the longest time until the next one is
@@ -71,18 +71,18 @@
             return Ok(());
         }
         let missing = 1.0 - self.tokens;
-        let wait = Duration::try_from_secs_f64(missing / self.share.per_second);
+        let wait = Duration::try_from_secs_f64(missing / self.settings.per_second);
         Err(wait.unwrap_or(Duration::MAX))
     }
 
     fn refill(&mut self, now: Instant) {
         let elapsed = now.since(self.refilled);
         self.refilled = self.refilled.max(now);
-        self.add(elapsed.as_secs_f64() * self.share.per_second);
+        self.add(elapsed.as_secs_f64() * self.settings.per_second);
     }
 
     fn add(&mut self, tokens: f64) {
-        self.tokens = (self.tokens + tokens).min(self.share.burst);
+        self.tokens = (self.tokens + tokens).min(self.settings.burst);
     }
 }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Events in slots that began no longer than `span` ago.
+    /// Number of events in the slots that began within the last `span`.
     fn within(&self, span: Duration, now: Instant) -> f64 {
         let from = (now - span).as_micros() / SLOT_MICROS;
         self.0.iter().filter(|(slot, _)| *slot > from).map(|(_, count)| f64::from(*count)).sum()
@@ -149,8 +149,8 @@
     }
 
     /// Takes one retry, if the window allows one.
-    pub fn take(&mut self, bound: &WindowLimits, now: Instant) -> bool {
-        let WindowLimits { length, per_request, extra } = *bound;
+    pub fn take(&mut self, limits: &WindowLimits, now: Instant) -> bool {
+        let WindowLimits { length, per_request, extra } = *limits;
         self.requests.evict(length, now);
         self.retries.evict(length + 2 * COUNT_MARGIN, now);
         let is_new = now.since(self.started) < length + COUNT_MARGIN;
--- a/mimosashift/src/posting/resolve.rs
+++ b/mimosashift/src/posting/resolve.rs
@@ -7,8 +7,9 @@
 use super::{Entry, State};
 use crate::platform::{Check, Row, Transaction, Write};
 
-/// Minimum age of a claim that may be resolved; far above the time within
-/// which its router may still send the call.
+/// Minimum age of a claim that may be resolved. It is far above the time within
+/// which its router may still send the call, so that a call resolved as not run
+/// is not sent later.
 pub const MIN_RESOLVE_AGE: Duration = Duration::from_secs(600);
 
 /// How an operator resolves a claim whose outcome is unknown.
--- a/mimosashift/tests/common/posting_world.rs
+++ b/mimosashift/tests/common/posting_world.rs
@@ -19,16 +19,16 @@
     None,
     SendBeforeClaim,
     SharedNonce,
-    WithdrawAfterSend,
+    ReleaseAfterSend,
     TrustStaleAbsent,
-    DeleteOnWithdraw,
-    ResolveYoungClaim,
+    DeleteOnRelease,
+    ResolveRecentClaim,
 }
 
 /// How many more events of each kind may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EventLimits {
-    pub tries: u8,
+    pub attempts: u8,
     pub faults: u8,
     pub crashes: u8,
     pub resolves: u8,
@@ -101,7 +101,7 @@
         let mut next = self.clone();
         let nonce = next.next_nonce;
         next.next_nonce += 1;
-        next.left.tries -= 1;
+        next.left.attempts -= 1;
         let used_nonce = if self.mistake == Mistake::SharedNonce { 1 } else { nonce };
         let digest = Digest::new("POST", "/charges", b"{}");
         let request = Request { key: Some(key()), nonce: Nonce(used_nonce), digest, unix_ms: 0 };
@@ -137,13 +137,13 @@
                         panic!("one put expected")
                     };
                     let released = value.contains("\"released\"");
-                    let delete = released && mistake == Mistake::DeleteOnWithdraw;
+                    let delete = released && mistake == Mistake::DeleteOnRelease;
                     router.pending =
                         Some(Pending { replaced, value: (!delete).then(|| value.clone()) });
                 }
                 Action::Send { before } => router.send_before = Some(before),
                 Action::Answer(answer) => {
-                    assert!(!router.answered, "one answer per try");
+                    assert!(!router.answered, "one answer per attempt");
                     router.answered = true;
                     self.answers.push((router.nonce, answer));
                 }
@@ -216,7 +216,7 @@
             let mut delivery = delivery;
             if delivery == Delivery::Lost {
                 next.outcome_lost = true;
-                if self.mistake == Mistake::WithdrawAfterSend {
+                if self.mistake == Mistake::ReleaseAfterSend {
                     delivery = Delivery::NotConnected;
                 }
             }
@@ -294,9 +294,9 @@
                 && !r.machine.is_finished()
                 && r.now < Instant::ZERO + SETTINGS.send_window
         };
-        let young = self.routers.iter().flatten().any(may_send);
+        let recent = self.routers.iter().flatten().any(may_send);
         let call_in_flight = self.delayed_calls.contains(&owner);
-        if call_in_flight || (young && self.mistake != Mistake::ResolveYoungClaim) {
+        if call_in_flight || (recent && self.mistake != Mistake::ResolveRecentClaim) {
             return None;
         }
         let ran = self.executed.contains(&owner);
@@ -324,7 +324,7 @@
         let mut out = Vec::new();
         for (index, router) in self.routers.iter().enumerate() {
             let idle = router.as_ref().is_none_or(|r| r.machine.is_finished());
-            if idle && self.left.tries > 0 {
+            if idle && self.left.attempts > 0 {
                 out.push(self.start(index));
             }
             if let Some(router) = router {
@@ -357,10 +357,12 @@
         for (nonce, answer) in &self.answers {
             match answer {
                 Answer::NotRun if ran(nonce) => {
-                    return Some(format!("try {nonce} ran, said not run"));
+                    return Some(format!("attempt {nonce} ran, but was reported as not run"));
                 }
                 Answer::Recorded(r) | Answer::Replied(r) if !ran(&nonce_of(r)) => {
-                    return Some(format!("try {nonce} got an answer that no run gave"));
+                    return Some(format!(
+                        "attempt {nonce} got an answer that no execution returned"
+                    ));
                 }
                 _ => {}
             }
--- a/mimosashift/tests/model_check.rs
+++ b/mimosashift/tests/model_check.rs
@@ -30,7 +30,7 @@
     ($($case:ident: $mistake:ident => $violation:literal;)*) => {$(
         #[test]
         fn $case() {
-            let left = EventLimits { tries: 2, faults: 2, crashes: 0, resolves: 1 };
+            let left = EventLimits { attempts: 2, faults: 2, crashes: 0, resolves: 1 };
             let violation = posting(Mistake::$mistake, left).violation.unwrap();
             assert!(violation.contains($violation), "{violation}");
         }
@@ -38,18 +38,18 @@
 }
 
 caught! {
-    send_before_claim: SendBeforeClaim => "said not run";
+    send_before_claim: SendBeforeClaim => "reported as not run";
     shared_nonce: SharedNonce => "executed twice";
-    withdraw_after_send: WithdrawAfterSend => "executed twice";
+    release_after_send: ReleaseAfterSend => "executed twice";
     trust_stale_absent: TrustStaleAbsent => "stays claimed";
-    resolve_young_claim: ResolveYoungClaim => "executed twice";
-    delete_on_withdraw: DeleteOnWithdraw => "stays claimed";
+    resolve_recent_claim: ResolveRecentClaim => "executed twice";
+    delete_on_release: DeleteOnRelease => "stays claimed";
 }
 
 #[test]
 fn posting_holds_with_faults() {
     let report =
-        posting(Mistake::None, EventLimits { tries: 2, faults: 3, crashes: 0, resolves: 0 });
+        posting(Mistake::None, EventLimits { attempts: 2, faults: 3, crashes: 0, resolves: 0 });
     assert_eq!(report.violation, None);
     assert!(report.complete);
 }
@@ -57,7 +57,7 @@
 #[test]
 fn posting_holds_with_crash_and_operator() {
     let report =
-        posting(Mistake::None, EventLimits { tries: 3, faults: 2, crashes: 1, resolves: 1 });
+        posting(Mistake::None, EventLimits { attempts: 3, faults: 2, crashes: 1, resolves: 1 });
     assert_eq!(report.violation, None);
     assert!(report.complete);
 }
--- a/mimosashift/tests/pipeline.rs
+++ b/mimosashift/tests/pipeline.rs
@@ -240,7 +240,12 @@
 #[test_case(&[("x", 0, 6), ("y", 6, 12)], &["a", "b", "c"], 40, 100 => None; "other boundaries")]
 #[test_case(&[("a", 0, 4), ("a", 4, 8), ("c", 8, 12)], &["b"], 40, 100 => None; "endpoint in use")]
 #[test_case(&[("a", 0, 4), ("b", 4, 8), ("c", 8, 12)], &["b"], 40, 100 => None; "failed stage again")]
-fn copies(stages: &[(&str, u16, u16)], holders: &[&str], position: u32, kv: u32) -> Option<usize> {
+fn planned_transfers(
+    stages: &[(&str, u16, u16)],
+    holders: &[&str],
+    position: u32,
+    kv: u32,
+) -> Option<usize> {
     let holders: Vec<Name> = holders.iter().map(|holder| name(holder)).collect();
     let used = ["a", "b", "c"].map(name);
     let endpoints = Endpoints { holders: &holders, used: &used };
@@ -270,7 +275,7 @@
 #[test_case(Some(Err(Failure::NoCache)), 0 => (name("a"), 2); "refused")]
 #[test_case(Some(Ok(())), 1 => (name("a"), 2); "wrong count")]
 #[test_case(None, 0 => (name("a"), 2); "lost")]
-fn copy_ends(result: Option<Result<(), Failure>>, extra: u32) -> (Name, u32) {
+fn step_after_import(result: Option<Result<(), Failure>>, extra: u32) -> (Name, u32) {
     let mut harness = Harness::new(9, 60_000, BudgetSettings::default());
     harness.answer_steps(4);
     harness.fail(&Failure::Leaving, None);
--- a/mimosashift/tests/pipeline_faults/main.rs
+++ b/mimosashift/tests/pipeline_faults/main.rs
@@ -187,7 +187,7 @@
         return stats.violations.push(format!("seed {seed}: never ended"));
     };
     world.check(at <= schedule.deadline, "the end came after the deadline");
-    if let (Mutant::ClaimNotRun, Outcome::Failed { effect, .. }) = (world.mutant, &mut outcome) {
+    if let (Mutant::ReportNotRun, Outcome::Failed { effect, .. }) = (world.mutant, &mut outcome) {
         *effect = Effect::NotRun;
     }
     let kept = world.engines.iter().any(|engine| !engine.caches.is_empty());
@@ -195,7 +195,10 @@
     let ran = world.engines.iter().any(|engine| engine.ran > 0);
     match outcome {
         Outcome::Complete => {
-            world.check(world.emitted == world.expected, "complete, but not whole");
+            world.check(
+                world.emitted == world.expected,
+                "complete, but the tokens are not the expected ones",
+            );
             stats.completed += 1;
             stats.recovered += u32::from(hedge.recoveries() > 0);
         }
@@ -203,7 +206,7 @@
         Outcome::Failed { effect, .. } | Outcome::DeadlineExceeded { effect } => {
             if effect == Effect::NotRun {
                 stats.not_run += 1;
-                world.check(!ran, "said not run, but ran");
+                world.check(!ran, "reported as not run, but ran");
             }
             match outcome {
                 Outcome::Failed { .. } => stats.failed += 1,
@@ -211,7 +214,7 @@
             }
             if schedule.must_complete {
                 stats.lost += 1;
-                world.check(false, "lost with an endpoint and time to spare");
+                world.check(false, "failed although it must complete");
             }
         }
     }
@@ -237,7 +240,7 @@
 #[test_case(Mutant::AnyPosition, "a wrong token"; "ledger ignores position")]
 #[test_case(Mutant::AnyLayers, "a wrong token"; "ledger ignores layers")]
 #[test_case(Mutant::EmitTwice, "a wrong token"; "token emitted twice")]
-#[test_case(Mutant::ClaimNotRun, "said not run, but ran"; "false claim of not run")]
+#[test_case(Mutant::ReportNotRun, "reported as not run, but ran"; "false report of not run")]
 #[test_case(Mutant::KeepCache, "left with a cache"; "cache not released")]
 #[test_case(Mutant::IgnoreDeadline, "after the deadline"; "deadline ignored")]
 fn checks_find_a_faulty_machine(mutant: Mutant, violation: &str) {
@@ -274,7 +277,7 @@
 
 /// One request in ten meets a slow link; a second chain must cut the tail.
 #[test]
-fn hedging_cuts_the_tail_of_the_first_token() {
+fn hedging_reduces_tail_latency_of_the_first_token() {
     let tail = |hedge| {
         let mut times: Vec<Duration> = (0..2_000).map(|seed| first_token(seed, hedge)).collect();
         times.sort();
@@ -295,5 +298,5 @@
     }
     let (world, _) = simulate(&schedule, Mutant::None, rng);
     assert_eq!(world.emitted, world.expected, "seed {seed}");
-    world.first_token.expect("the answer is whole").since(Instant::ZERO)
+    world.first_token.expect("the first token was emitted").since(Instant::ZERO)
 }
--- a/mimosashift/tests/pipeline_faults/world.rs
+++ b/mimosashift/tests/pipeline_faults/world.rs
@@ -46,7 +46,7 @@
     AnyPosition,
     AnyLayers,
     EmitTwice,
-    ClaimNotRun,
+    ReportNotRun,
     IgnoreDeadline,
     KeepCache,
 }
