--- a/mimosashift/src/posting/machine.rs
+++ b/mimosashift/src/posting/machine.rs
@@ -2,7 +2,7 @@
 
 use smallvec::{SmallVec, smallvec};
 
-use super::{Answer, Delivery, Entry, Reply, Request, Settings, State};
+use super::{CallOutcome, Delivery, Entry, Reply, Request, Settings, State};
 use crate::platform::{Check, Key, Outcome, Refusal, Row, Transaction, Write};
 use crate::time::Instant;
 
@@ -45,7 +45,7 @@
         before: Instant,
     },
     /// Answer the caller.
-    Answer(Answer),
+    Answer(CallOutcome),
 }
 
 /// The actions after one input.
@@ -126,7 +126,7 @@
             }
             Delivery::NotConnected => self.give_up(claim, now),
             Delivery::Replied(reply) => self.record(claim, reply, now),
-            Delivery::Lost => self.finish(Answer::Unknown),
+            Delivery::Lost => self.finish(CallOutcome::Unknown),
         }
     }
 
@@ -151,7 +151,7 @@
             return Actions::new();
         };
         *cancelled = true;
-        self.answer(Answer::NotRun)
+        self.answer(CallOutcome::NotRun)
     }
 
     /// When [`tick`](Self::tick) has something to do.
@@ -185,10 +185,16 @@
             Outcome::NotDone(Refusal::Conflict(None)) if replaced.is_some() => {
                 // The released row was deleted by the clean-up.
                 self.phase = Phase::Claiming { replaced: None, uncertain: false, cancelled };
-                if cancelled { self.finish(Answer::NotRun) } else { self.commit_actions(false) }
+                if cancelled {
+                    self.finish(CallOutcome::NotRun)
+                } else {
+                    self.commit_actions(false)
+                }
             }
-            Outcome::NotDone(Refusal::Conflict(None)) if !uncertain => self.finish(Answer::Unknown),
-            Outcome::NotDone(_) if !uncertain => self.finish(Answer::NotRun),
+            Outcome::NotDone(Refusal::Conflict(None)) if !uncertain => {
+                self.finish(CallOutcome::Unknown)
+            }
+            Outcome::NotDone(_) if !uncertain => self.finish(CallOutcome::NotRun),
             Outcome::NotDone(_) | Outcome::Unknown => {
                 self.phase = Phase::Claiming { replaced, uncertain: true, cancelled };
                 self.schedule_retry(now)
@@ -199,21 +205,23 @@
     /// Handles the existing row that the claim conflicts with.
     fn on_claim_conflict(&mut self, row: &Row, cancelled: bool, now: Instant) -> Actions {
         let Ok(entry) = Entry::try_from(row) else {
-            return self.finish(Answer::Unknown);
+            return self.finish(CallOutcome::Unknown);
         };
         let is_own = entry.nonce == self.request.nonce;
         match entry.state {
             State::Claimed if is_own => self.on_claim_written(row.revision, cancelled, now),
-            State::Released if cancelled || now >= self.deadline => self.finish(Answer::NotRun),
+            State::Released if cancelled || now >= self.deadline => {
+                self.finish(CallOutcome::NotRun)
+            }
             State::Released => {
                 let replaced = Some(row.revision);
                 self.phase = Phase::Claiming { replaced, uncertain: false, cancelled };
                 self.commit_actions(false)
             }
-            _ if entry.digest != self.request.digest => self.finish(Answer::Mismatch),
-            State::Replied(reply) => self.finish(Answer::Recorded(reply)),
-            State::Ran => self.finish(Answer::Ran),
-            State::Claimed => self.finish(Answer::Unknown),
+            _ if entry.digest != self.request.digest => self.finish(CallOutcome::Mismatch),
+            State::Replied(reply) => self.finish(CallOutcome::Recorded(reply)),
+            State::Ran => self.finish(CallOutcome::Ran),
+            State::Claimed => self.finish(CallOutcome::Unknown),
         }
     }
 
@@ -227,24 +235,24 @@
 
     fn give_up(&mut self, claim: Option<u64>, now: Instant) -> Actions {
         let Some(claim) = claim else {
-            return self.finish(Answer::NotRun);
+            return self.finish(CallOutcome::NotRun);
         };
         self.deadline = now + self.settings.settle_window;
         self.retries = 0;
         self.phase = Phase::Releasing { claim };
-        let mut actions = self.answer(Answer::NotRun);
+        let mut actions = self.answer(CallOutcome::NotRun);
         actions.extend(self.commit_actions(false));
         actions
     }
 
     fn record(&mut self, claim: Option<u64>, reply: Reply, now: Instant) -> Actions {
         let Some(claim) = claim else {
-            return self.finish(Answer::Replied(reply));
+            return self.finish(CallOutcome::Replied(reply));
         };
         self.deadline = now + self.settings.settle_window;
         self.retries = 0;
         self.phase = Phase::Recording { claim, reply: reply.to_record() };
-        let mut actions = self.answer(Answer::Replied(reply));
+        let mut actions = self.answer(CallOutcome::Replied(reply));
         actions.extend(self.commit_actions(false));
         actions
     }
@@ -268,7 +276,7 @@
             _ => self.deadline,
         };
         if now >= retry_deadline {
-            return self.finish(Answer::NotRun);
+            return self.finish(CallOutcome::NotRun);
         }
         let doublings = self.retries.min(MAX_DOUBLINGS);
         self.retry_at = Some(now + self.settings.retry_pause * (1 << doublings));
@@ -276,13 +284,13 @@
         Actions::new()
     }
 
-    fn finish(&mut self, answer: Answer) -> Actions {
+    fn finish(&mut self, answer: CallOutcome) -> Actions {
         self.phase = Phase::Finished;
         self.retry_at = None;
         self.answer(answer)
     }
 
-    fn answer(&mut self, answer: Answer) -> Actions {
+    fn answer(&mut self, answer: CallOutcome) -> Actions {
         if std::mem::replace(&mut self.answered, true) {
             return Actions::new();
         }
--- a/mimosashift/src/posting/mod.rs
+++ b/mimosashift/src/posting/mod.rs
@@ -91,9 +91,9 @@
     Lost,
 }
 
-/// What the caller is answered.
+/// Outcome of a call, as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Answer {
+pub enum CallOutcome {
     /// The service's reply to this attempt.
     Replied(Reply),
     /// The recorded reply to an earlier attempt at the same call.
--- a/mimosashift/tests/common/posting_sim.rs
+++ b/mimosashift/tests/common/posting_sim.rs
@@ -7,7 +7,7 @@
 use mimosashift::platform::{Key, Outcome, Refusal, Transaction};
 use mimosashift::posting::batch::{Batch, BatchMember, Queue};
 use mimosashift::posting::{
-    Action, Actions, Answer, Body, Delivery, Digest, Machine, Nonce, Reply, Request, Settings,
+    Action, Actions, Body, CallOutcome, Delivery, Digest, Machine, Nonce, Reply, Request, Settings,
     TABLE,
 };
 use mimosashift::time::Instant;
@@ -79,7 +79,7 @@
     commits: Vec<Commit>,
     dead: BTreeSet<usize>,
     tries: Vec<u8>,
-    answers: Vec<Option<Answer>>,
+    answers: Vec<Option<CallOutcome>>,
     executed: Vec<Vec<usize>>,
     counts: Counts,
 }
@@ -232,14 +232,15 @@
         self.after(transit, Event::Delivered(attempt));
     }
 
-    fn answer(&mut self, attempt: usize, answer: Answer) {
+    fn answer(&mut self, attempt: usize, answer: CallOutcome) {
         let call = self.attempts[attempt].call;
-        self.attempts[attempt].not_run = answer == Answer::NotRun;
-        if matches!(answer, Answer::NotRun | Answer::Unknown) {
+        self.attempts[attempt].not_run = answer == CallOutcome::NotRun;
+        if matches!(answer, CallOutcome::NotRun | CallOutcome::Unknown) {
             let after = self.millis(500..3_000);
             self.after(after, Event::Start(call));
         }
-        let known = matches!(self.answers[call], Some(Answer::Replied(_) | Answer::Recorded(_)));
+        let known =
+            matches!(self.answers[call], Some(CallOutcome::Replied(_) | CallOutcome::Recorded(_)));
         if !known {
             self.answers[call] = Some(answer);
         }
@@ -325,12 +326,12 @@
             counts.false_not_run +=
                 executed.iter().filter(|attempt| self.attempts[**attempt].not_run).count() as u64;
             match &self.answers[call] {
-                Some(Answer::Replied(got) | Answer::Recorded(got)) => {
+                Some(CallOutcome::Replied(got) | CallOutcome::Recorded(got)) => {
                     counts.replied += 1;
                     let given = executed.iter().any(|attempt| reply(*attempt) == *got);
                     counts.unknown_reply += u64::from(!given);
                 }
-                Some(Answer::NotRun) => counts.refused += 1,
+                Some(CallOutcome::NotRun) => counts.refused += 1,
                 _ => counts.unknown += 1,
             }
         }
