--- a/mimosashift/src/posting/mod.rs
+++ b/mimosashift/src/posting/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to services that must not be executed twice.
+//! Postings: calls to services that must not be executed twice.
 //!
 //! A call with an idempotency key is claimed by one conditional write before
 //! it is sent, so that no other router sends it too. The protocol and its
--- a/mimosashift/tests/common/posting_world.rs
+++ b/mimosashift/tests/common/posting_world.rs
@@ -50,7 +50,7 @@
     answered: bool,
 }
 
-/// The whole system.
+/// State of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     mistake: Mistake,
--- a/mimosashift/tests/pipeline_faults/engine.rs
+++ b/mimosashift/tests/pipeline_faults/engine.rs
@@ -45,8 +45,8 @@
 pub struct Engine {
     pub caches: HashMap<(u32, Layers), Cache>,
     pub latest_attempt: u32,
-    pub released: u32,
-    pub ran: u32,
+    pub released_attempt: u32,
+    pub steps_run: u32,
     pub down_since: Option<Instant>,
     pub leaving: bool,
     /// When each kind of fault ends at this engine.
@@ -95,7 +95,7 @@
         if self.has(Fault::Overload, now) {
             return Err(Failure::Overloaded);
         }
-        if label.attempt < self.latest_attempt || label.attempt <= self.released {
+        if label.attempt < self.latest_attempt || label.attempt <= self.released_attempt {
             return Err(Failure::Refused("old attempt".to_owned()));
         }
         let key = (label.attempt, label.layers);
@@ -111,7 +111,7 @@
         if cache.len() != label.position as usize {
             return Err(Failure::Refused("position".to_owned()));
         }
-        self.ran += 1;
+        self.steps_run += 1;
         let inputs: Vec<u64> = match &step.input {
             Input::Tokens(tokens) => tokens.iter().map(|token| u64::from(*token)).collect(),
             Input::Hidden(bytes) => {
--- a/mimosashift/tests/pipeline_faults/main.rs
+++ b/mimosashift/tests/pipeline_faults/main.rs
@@ -34,7 +34,7 @@
     copied: u32,
     rebuilt: u32,
     hedged: u32,
-    lost: u32,
+    unexpected_failures: u32,
     violations: Vec<String>,
 }
 
@@ -192,7 +192,7 @@
     }
     let kept = world.engines.iter().any(|engine| !engine.caches.is_empty());
     world.check(!kept, "an engine was left with a cache");
-    let ran = world.engines.iter().any(|engine| engine.ran > 0);
+    let ran = world.engines.iter().any(|engine| engine.steps_run > 0);
     match outcome {
         Outcome::Complete => {
             world.check(
@@ -213,7 +213,7 @@
                 _ => stats.deadline += 1,
             }
             if schedule.must_complete {
-                stats.lost += 1;
+                stats.unexpected_failures += 1;
                 world.check(false, "failed although it must complete");
             }
         }
@@ -230,7 +230,7 @@
     (first..first + 5_000).for_each(|seed| run(seed, Mutant::None, &mut stats));
     eprintln!("{stats:?}");
     assert!(stats.violations.is_empty(), "{:#?}", &stats.violations);
-    assert_eq!(stats.lost, 0);
+    assert_eq!(stats.unexpected_failures, 0);
     assert!(stats.recovered > 1_000 && stats.not_run > 10 && stats.dropped > 1_000);
 }
 
@@ -263,7 +263,7 @@
     assert!(pauses[999] <= ms(1_000));
 }
 
-/// The longest time between two tokens.
+/// Returns the longest time between two tokens.
 fn pause(seed: u64, fault: Fault) -> Duration {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut schedule = Schedule::without_faults(&mut rng);
@@ -275,7 +275,8 @@
     world.longest_pause
 }
 
-/// One request in ten meets a slow link; a second chain must cut the tail.
+/// One request in ten uses a slow link; a second chain must reduce the tail
+/// latency.
 #[test]
 fn hedging_reduces_tail_latency_of_the_first_token() {
     let tail = |hedge| {
--- a/mimosashift/tests/pipeline_faults/world.rs
+++ b/mimosashift/tests/pipeline_faults/world.rs
@@ -153,7 +153,7 @@
                 Action::CancelEngine { .. } if self.mutant == Mutant::KeepCache => continue,
                 Action::CancelEngine { endpoint, attempt, .. } => {
                     let engine = &mut self.engines[index(&endpoint)];
-                    engine.released = engine.released.max(attempt);
+                    engine.released_attempt = engine.released_attempt.max(attempt);
                     engine.caches.retain(|(held, _), _| *held > attempt);
                     continue;
                 }
@@ -332,7 +332,7 @@
     /// Whether an endpoint accepts a cache of this attempt.
     fn accepts_cache(&mut self, to: usize, attempt: u32) -> bool {
         let engine = &self.engines[to];
-        let current = attempt >= engine.latest_attempt && attempt > engine.released;
+        let current = attempt >= engine.latest_attempt && attempt > engine.released_attempt;
         current && !self.down(to)
     }
 
