--- a/mimosashift/src/node/postings/driver.rs
+++ b/mimosashift/src/node/postings/driver.rs
@@ -14,7 +14,7 @@
 use crate::node::clock::Clock;
 use crate::platform::{Outcome, Refusal};
 use crate::posting::batch::BatchMember;
-use crate::posting::{Action, Actions, CallOutcome, Delivery, Machine, Request, Settings};
+use crate::posting::{Action, Actions, CallResult, Delivery, Machine, Request, Settings};
 use crate::time::Instant;
 
 /// Time between two looks while nothing waits.
@@ -45,7 +45,7 @@
     /// Send the call, unless this instant has passed.
     Send(Instant),
     /// Answer the caller; nothing follows.
-    Answer(CallOutcome),
+    Answer(CallResult),
 }
 
 /// All postings that are not finished, also those already answered.
@@ -64,7 +64,7 @@
     key: Option<String>,
     steps: Sender<Step>,
     wake: Option<Instant>,
-    answer: Option<CallOutcome>,
+    answer: Option<CallResult>,
 }
 
 impl Driver {
@@ -182,11 +182,11 @@
         }
     }
 
-    fn note_answer(&self, answer: &CallOutcome, log: &Logger) {
+    fn note_answer(&self, answer: &CallResult, log: &Logger) {
         let Some(key) = &self.key else { return };
         match answer {
-            CallOutcome::Unknown => emit!(log, Event::PostingUnknown, "key" => key),
-            CallOutcome::Mismatch => emit!(log, Event::PostingMismatch, "key" => key),
+            CallResult::Unknown => emit!(log, Event::PostingUnknown, "key" => key),
+            CallResult::Mismatch => emit!(log, Event::PostingMismatch, "key" => key),
             _ => {}
         }
     }
@@ -198,9 +198,9 @@
         let landed =
             matches!(outcome, Outcome::Done(_) | Outcome::NotDone(Refusal::Conflict(Some(_))));
         match answer {
-            CallOutcome::Replied(_) if landed => emit!(log, Event::PostingRecorded, "key" => key),
-            CallOutcome::Replied(_) => emit!(log, Event::PostingUnknown, "key" => key),
-            CallOutcome::NotRun if landed => emit!(log, Event::PostingWithdrawn, "key" => key),
+            CallResult::Replied(_) if landed => emit!(log, Event::PostingRecorded, "key" => key),
+            CallResult::Replied(_) => emit!(log, Event::PostingUnknown, "key" => key),
+            CallResult::NotRun if landed => emit!(log, Event::PostingWithdrawn, "key" => key),
             _ => {}
         }
     }
--- a/mimosashift/src/node/postings/send.rs
+++ b/mimosashift/src/node/postings/send.rs
@@ -12,7 +12,7 @@
 use crate::node::Node;
 use crate::node::installed::Installed;
 use crate::node::services::{Target, exchange, pick};
-use crate::posting::{self, Body, CallOutcome, Delivery, Digest, Nonce, Reply, claim_key};
+use crate::posting::{self, Body, CallResult, Delivery, Digest, Nonce, Reply, claim_key};
 use crate::resource::Name;
 use crate::time::Instant;
 
@@ -58,7 +58,7 @@
         }
     }
     // The thread that runs the machines is gone.
-    respond(responder, CallOutcome::Unknown, target, keyed, false);
+    respond(responder, CallResult::Unknown, target, keyed, false);
 }
 
 /// What became of sending a call.
@@ -143,40 +143,40 @@
 
 fn respond(
     responder: Responder,
-    answer: CallOutcome,
+    answer: CallResult,
     target: &Target<'_>,
     keyed: bool,
     unreachable: bool,
 ) {
     let service = target.service.as_str();
     let problem = match answer {
-        CallOutcome::Replied(reply) => return pass_on(responder, reply, false),
-        CallOutcome::Recorded(reply) => return pass_on(responder, reply, true),
-        CallOutcome::Ran => {
+        CallResult::Replied(reply) => return pass_on(responder, reply, false),
+        CallResult::Recorded(reply) => return pass_on(responder, reply, true),
+        CallResult::Ran => {
             let detail = "an operator resolved this call as run; its answer is not known";
             Problem::not_run(StatusCode::CONFLICT, "posting-ran", detail)
                 .with_effect(Effect::Failed)
         }
-        CallOutcome::Mismatch => {
+        CallResult::Mismatch => {
             let detail = "the key was used before with a different request";
             Problem::not_run(StatusCode::UNPROCESSABLE_ENTITY, "posting-mismatch", detail)
         }
-        CallOutcome::Unknown if !keyed => {
+        CallResult::Unknown if !keyed => {
             let detail = "the call was sent and its answer was lost";
             Problem::not_run(StatusCode::BAD_GATEWAY, "answer-lost", detail)
                 .with_effect(Effect::Unknown)
         }
-        CallOutcome::Unknown => {
+        CallResult::Unknown => {
             let detail = "the call, or an earlier one with this key, may have run";
             Problem::not_run(StatusCode::CONFLICT, "posting-unknown", detail)
                 .with_effect(Effect::Unknown)
         }
-        CallOutcome::NotRun if unreachable => {
+        CallResult::NotRun if unreachable => {
             let detail = format!("no endpoint of service {service:?} could be reached");
             Problem::not_run(StatusCode::BAD_GATEWAY, "endpoint-unreachable", detail)
                 .with_retry_after(RETRY_AFTER)
         }
-        CallOutcome::NotRun => {
+        CallResult::NotRun => {
             let detail = "the key could not be claimed in the platform's table";
             Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "platform-unavailable", detail)
                 .with_retry_after(RETRY_AFTER)
--- a/mimosashift/src/posting/machine.rs
+++ b/mimosashift/src/posting/machine.rs
@@ -2,7 +2,7 @@
 
 use smallvec::{SmallVec, smallvec};
 
-use super::{CallOutcome, Delivery, Entry, Reply, Request, Settings, State};
+use super::{CallResult, Delivery, Entry, Reply, Request, Settings, State};
 use crate::platform::{Check, Key, Outcome, Refusal, Row, Transaction, Write};
 use crate::time::Instant;
 
@@ -45,7 +45,7 @@
         before: Instant,
     },
     /// Answer the caller.
-    Answer(CallOutcome),
+    Answer(CallResult),
 }
 
 /// The actions after one input.
@@ -126,7 +126,7 @@
             }
             Delivery::NotConnected => self.give_up(claim, now),
             Delivery::Replied(reply) => self.record(claim, reply, now),
-            Delivery::Lost => self.finish(CallOutcome::Unknown),
+            Delivery::Lost => self.finish(CallResult::Unknown),
         }
     }
 
@@ -151,7 +151,7 @@
             return Actions::new();
         };
         *cancelled = true;
-        self.answer(CallOutcome::NotRun)
+        self.answer(CallResult::NotRun)
     }
 
     /// When [`tick`](Self::tick) has something to do.
@@ -185,16 +185,12 @@
             Outcome::NotDone(Refusal::Conflict(None)) if replaced.is_some() => {
                 // The released row was deleted by the clean-up.
                 self.phase = Phase::Claiming { replaced: None, uncertain: false, cancelled };
-                if cancelled {
-                    self.finish(CallOutcome::NotRun)
-                } else {
-                    self.commit_actions(false)
-                }
+                if cancelled { self.finish(CallResult::NotRun) } else { self.commit_actions(false) }
             }
             Outcome::NotDone(Refusal::Conflict(None)) if !uncertain => {
-                self.finish(CallOutcome::Unknown)
+                self.finish(CallResult::Unknown)
             }
-            Outcome::NotDone(_) if !uncertain => self.finish(CallOutcome::NotRun),
+            Outcome::NotDone(_) if !uncertain => self.finish(CallResult::NotRun),
             Outcome::NotDone(_) | Outcome::Unknown => {
                 self.phase = Phase::Claiming { replaced, uncertain: true, cancelled };
                 self.schedule_retry(now)
@@ -205,23 +201,21 @@
     /// Handles the existing row that the claim conflicts with.
     fn on_claim_conflict(&mut self, row: &Row, cancelled: bool, now: Instant) -> Actions {
         let Ok(entry) = Entry::try_from(row) else {
-            return self.finish(CallOutcome::Unknown);
+            return self.finish(CallResult::Unknown);
         };
         let is_own = entry.nonce == self.request.nonce;
         match entry.state {
             State::Claimed if is_own => self.on_claim_written(row.revision, cancelled, now),
-            State::Released if cancelled || now >= self.deadline => {
-                self.finish(CallOutcome::NotRun)
-            }
+            State::Released if cancelled || now >= self.deadline => self.finish(CallResult::NotRun),
             State::Released => {
                 let replaced = Some(row.revision);
                 self.phase = Phase::Claiming { replaced, uncertain: false, cancelled };
                 self.commit_actions(false)
             }
-            _ if entry.digest != self.request.digest => self.finish(CallOutcome::Mismatch),
-            State::Replied(reply) => self.finish(CallOutcome::Recorded(reply)),
-            State::Ran => self.finish(CallOutcome::Ran),
-            State::Claimed => self.finish(CallOutcome::Unknown),
+            _ if entry.digest != self.request.digest => self.finish(CallResult::Mismatch),
+            State::Replied(reply) => self.finish(CallResult::Recorded(reply)),
+            State::Ran => self.finish(CallResult::Ran),
+            State::Claimed => self.finish(CallResult::Unknown),
         }
     }
 
@@ -235,24 +229,24 @@
 
     fn give_up(&mut self, claim: Option<u64>, now: Instant) -> Actions {
         let Some(claim) = claim else {
-            return self.finish(CallOutcome::NotRun);
+            return self.finish(CallResult::NotRun);
         };
         self.deadline = now + self.settings.settle_window;
         self.retries = 0;
         self.phase = Phase::Releasing { claim };
-        let mut actions = self.answer(CallOutcome::NotRun);
+        let mut actions = self.answer(CallResult::NotRun);
         actions.extend(self.commit_actions(false));
         actions
     }
 
     fn record(&mut self, claim: Option<u64>, reply: Reply, now: Instant) -> Actions {
         let Some(claim) = claim else {
-            return self.finish(CallOutcome::Replied(reply));
+            return self.finish(CallResult::Replied(reply));
         };
         self.deadline = now + self.settings.settle_window;
         self.retries = 0;
         self.phase = Phase::Recording { claim, reply: reply.to_record() };
-        let mut actions = self.answer(CallOutcome::Replied(reply));
+        let mut actions = self.answer(CallResult::Replied(reply));
         actions.extend(self.commit_actions(false));
         actions
     }
@@ -276,7 +270,7 @@
             _ => self.deadline,
         };
         if now >= retry_deadline {
-            return self.finish(CallOutcome::NotRun);
+            return self.finish(CallResult::NotRun);
         }
         let doublings = self.retries.min(MAX_DOUBLINGS);
         self.retry_at = Some(now + self.settings.retry_pause * (1 << doublings));
@@ -284,13 +278,13 @@
         Actions::new()
     }
 
-    fn finish(&mut self, answer: CallOutcome) -> Actions {
+    fn finish(&mut self, answer: CallResult) -> Actions {
         self.phase = Phase::Finished;
         self.retry_at = None;
         self.answer(answer)
     }
 
-    fn answer(&mut self, answer: CallOutcome) -> Actions {
+    fn answer(&mut self, answer: CallResult) -> Actions {
         if std::mem::replace(&mut self.answered, true) {
             return Actions::new();
         }
--- a/mimosashift/src/posting/mod.rs
+++ b/mimosashift/src/posting/mod.rs
@@ -91,9 +91,9 @@
     Lost,
 }
 
-/// Outcome of a call, as reported to the caller.
+/// Result of a call, as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum CallOutcome {
+pub enum CallResult {
     /// The service's reply to this attempt.
     Replied(Reply),
     /// The recorded reply to an earlier attempt at the same call.
--- a/mimosashift/tests/common/posting_sim.rs
+++ b/mimosashift/tests/common/posting_sim.rs
@@ -7,7 +7,7 @@
 use mimosashift::platform::{Key, Outcome, Refusal, Transaction};
 use mimosashift::posting::batch::{Batch, BatchMember, Queue};
 use mimosashift::posting::{
-    Action, Actions, Body, CallOutcome, Delivery, Digest, Machine, Nonce, Reply, Request, Settings,
+    Action, Actions, Body, CallResult, Delivery, Digest, Machine, Nonce, Reply, Request, Settings,
     TABLE,
 };
 use mimosashift::time::Instant;
@@ -79,7 +79,7 @@
     commits: Vec<Commit>,
     dead: BTreeSet<usize>,
     tries: Vec<u8>,
-    answers: Vec<Option<CallOutcome>>,
+    answers: Vec<Option<CallResult>>,
     executed: Vec<Vec<usize>>,
     counts: Counts,
 }
@@ -232,15 +232,15 @@
         self.after(transit, Event::Delivered(attempt));
     }
 
-    fn answer(&mut self, attempt: usize, answer: CallOutcome) {
+    fn answer(&mut self, attempt: usize, answer: CallResult) {
         let call = self.attempts[attempt].call;
-        self.attempts[attempt].not_run = answer == CallOutcome::NotRun;
-        if matches!(answer, CallOutcome::NotRun | CallOutcome::Unknown) {
+        self.attempts[attempt].not_run = answer == CallResult::NotRun;
+        if matches!(answer, CallResult::NotRun | CallResult::Unknown) {
             let after = self.millis(500..3_000);
             self.after(after, Event::Start(call));
         }
         let known =
-            matches!(self.answers[call], Some(CallOutcome::Replied(_) | CallOutcome::Recorded(_)));
+            matches!(self.answers[call], Some(CallResult::Replied(_) | CallResult::Recorded(_)));
         if !known {
             self.answers[call] = Some(answer);
         }
@@ -326,12 +326,12 @@
             counts.false_not_run +=
                 executed.iter().filter(|attempt| self.attempts[**attempt].not_run).count() as u64;
             match &self.answers[call] {
-                Some(CallOutcome::Replied(got) | CallOutcome::Recorded(got)) => {
+                Some(CallResult::Replied(got) | CallResult::Recorded(got)) => {
                     counts.replied += 1;
                     let given = executed.iter().any(|attempt| reply(*attempt) == *got);
                     counts.unknown_reply += u64::from(!given);
                 }
-                Some(CallOutcome::NotRun) => counts.refused += 1,
+                Some(CallResult::NotRun) => counts.refused += 1,
                 _ => counts.unknown += 1,
             }
         }
--- a/mimosashift/tests/common/posting_world.rs
+++ b/mimosashift/tests/common/posting_world.rs
@@ -6,7 +6,7 @@
 use mimosashift::platform::{Check, Key, Outcome, Refusal, Row, Write};
 use mimosashift::posting::resolve::{MIN_RESOLVE_AGE, Resolution, resolve};
 use mimosashift::posting::{
-    Action, Actions, Body, CallOutcome, Delivery, Digest, Entry, Machine, Nonce, Reply, Request,
+    Action, Actions, Body, CallResult, Delivery, Digest, Entry, Machine, Nonce, Reply, Request,
     Settings, State, TABLE,
 };
 use mimosashift::time::Instant;
@@ -61,7 +61,7 @@
     delayed_writes: Vec<Pending>,
     delayed_calls: Vec<u64>,
     pub executed: Vec<u64>,
-    pub answers: Vec<(u64, CallOutcome)>,
+    pub answers: Vec<(u64, CallResult)>,
     next_nonce: u64,
     outcome_lost: bool,
 }
@@ -356,10 +356,10 @@
         let ran = |nonce: &u64| self.executed.contains(nonce);
         for (nonce, answer) in &self.answers {
             match answer {
-                CallOutcome::NotRun if ran(nonce) => {
+                CallResult::NotRun if ran(nonce) => {
                     return Some(format!("attempt {nonce} ran, but was reported as not run"));
                 }
-                CallOutcome::Recorded(r) | CallOutcome::Replied(r) if !ran(&nonce_of(r)) => {
+                CallResult::Recorded(r) | CallResult::Replied(r) if !ran(&nonce_of(r)) => {
                     return Some(format!(
                         "attempt {nonce} got an answer that no execution returned"
                     ));
--- a/mimosashift/tests/posting.rs
+++ b/mimosashift/tests/posting.rs
@@ -15,7 +15,7 @@
 use mimosashift::posting::batch::{Batch, BatchMember, Queue};
 use mimosashift::posting::resolve::{self, Resolution};
 use mimosashift::posting::{
-    Action, Body, CallOutcome, Delivery, Digest, Entry, MAX_RECORDED_BODY_BYTES, Machine, Nonce,
+    Action, Body, CallResult, Delivery, Digest, Entry, MAX_RECORDED_BODY_BYTES, Machine, Nonce,
     Reply, Request, Settings, State, TABLE, claim_key,
 };
 use mimosashift::resource::Name;
@@ -43,7 +43,7 @@
 }
 
 /// Runs one attempt to its end, with the given result of each send.
-fn call(rows: &mut Rows, request: Request, delivery: &Delivery) -> CallOutcome {
+fn call(rows: &mut Rows, request: Request, delivery: &Delivery) -> CallResult {
     let (mut machine, actions) = Machine::new(Settings::default(), request, NOW);
     let mut pending: Vec<Action> = actions.into_iter().rev().collect();
     let mut answers = Vec::new();
@@ -66,18 +66,18 @@
 struct Reference(HashMap<Key, (Digest, Option<Reply>)>);
 
 impl Reference {
-    fn call(&mut self, request: &Request, delivery: &Delivery) -> CallOutcome {
+    fn call(&mut self, request: &Request, delivery: &Delivery) -> CallResult {
         let used = request.key.as_ref().and_then(|key| self.0.get(key));
         match used {
-            Some((digest, _)) if *digest != request.digest => return CallOutcome::Mismatch,
-            Some((_, Some(reply))) => return CallOutcome::Recorded(reply.clone()),
-            Some((_, None)) => return CallOutcome::Unknown,
+            Some((digest, _)) if *digest != request.digest => return CallResult::Mismatch,
+            Some((_, Some(reply))) => return CallResult::Recorded(reply.clone()),
+            Some((_, None)) => return CallResult::Unknown,
             None => {}
         }
         let (answer, reply) = match delivery {
-            Delivery::NotConnected => return CallOutcome::NotRun,
-            Delivery::Replied(reply) => (CallOutcome::Replied(reply.clone()), Some(reply.clone())),
-            Delivery::Lost => (CallOutcome::Unknown, None),
+            Delivery::NotConnected => return CallResult::NotRun,
+            Delivery::Replied(reply) => (CallResult::Replied(reply.clone()), Some(reply.clone())),
+            Delivery::Lost => (CallResult::Unknown, None),
         };
         if let Some(key) = &request.key {
             self.0.insert(key.clone(), (request.digest, reply));
@@ -267,12 +267,12 @@
         |key| Request { key, nonce: Nonce(1), digest: Digest::new("", "", b""), unix_ms: 0 };
     let (mut keyed, _) = Machine::new(Settings::default(), request(Some(key("k"))), NOW);
     let actions = keyed.committed(&Outcome::NotDone(Refusal::Unavailable), NOW);
-    assert_eq!(actions[..], [Action::Answer(CallOutcome::NotRun)]);
+    assert_eq!(actions[..], [Action::Answer(CallResult::NotRun)]);
     assert!(keyed.is_finished());
     let (mut unkeyed, actions) = Machine::new(Settings::default(), request(None), NOW);
     assert!(matches!(actions[..], [Action::Send { .. }]));
     let actions = unkeyed.delivered(Delivery::Lost, NOW);
-    assert_eq!(actions[..], [Action::Answer(CallOutcome::Unknown)]);
+    assert_eq!(actions[..], [Action::Answer(CallResult::Unknown)]);
 }
 
 #[test]
