--- a/mimosabench/src/policy/run/mod.rs
+++ b/mimosabench/src/policy/run/mod.rs
@@ -4,7 +4,7 @@
 
 use mimosashift::admit;
 use mimosashift::engine::{Failure, Label, Load, Output, Reply};
-use mimosashift::pipeline::{Action, Actions, Effect, Limits, Machine, Outcome, Request};
+use mimosashift::pipeline::{Action, Actions, Effect, Machine, Outcome, Request, TimeoutLimits};
 use mimosashift::time::Instant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -230,7 +230,7 @@
         };
         let cost = cost(fleet, &held.chain);
         let chain = held.chain.clone();
-        let limits = Limits::default();
+        let limits = TimeoutLimits::default();
         let (machine, actions) =
             Machine::start(&mut shell.context(now), request, chain, cost, limits);
         self.calls[number].driver = Driver::Machine { machine: Box::new(machine), held, ticket };
@@ -393,7 +393,7 @@
         let call = &mut self.calls[number];
         let actions = match &mut call.driver {
             Driver::Machine { machine, .. } => {
-                machine.on_time(&mut self.routers[call.router].context(now))
+                machine.on_timer(&mut self.routers[call.router].context(now))
             }
             Driver::Naive(naive) if now >= call.request.deadline => naive.expire(self.plan.fleet),
             _ => Actions::new(),
--- a/mimosabench/src/slopes/relay.rs
+++ b/mimosabench/src/slopes/relay.rs
@@ -6,8 +6,8 @@
 use mimosashift::engine::http::{decode, encode};
 use mimosashift::engine::{Output, Reply, RequestId, Step};
 use mimosashift::pipeline::recovery::Cost;
-use mimosashift::pipeline::retry::{Budget, Share};
-use mimosashift::pipeline::{Action, Actions, Context, Limits, Machine, Request};
+use mimosashift::pipeline::retry::{Budget, BudgetSettings};
+use mimosashift::pipeline::{Action, Actions, Context, Machine, Request, TimeoutLimits};
 use mimosashift::resource::Layers;
 use mimosashift::route::{Chain, Stage};
 use mimosashift::time::Instant;
@@ -63,10 +63,10 @@
 fn run(prompt: usize, tokens: u32, hidden: usize) -> Run {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut now = Instant::from_millis(1);
-    let mut budget = Budget::new(Share::default(), now);
+    let mut budget = Budget::new(BudgetSettings::default(), now);
     let mut ctx = Context { now, rng: &mut rng, budget: &mut budget };
     let (mut machine, mut actions) =
-        Machine::start(&mut ctx, request(prompt), chain(), cost(), Limits::default());
+        Machine::start(&mut ctx, request(prompt), chain(), cost(), TimeoutLimits::default());
     let mut wire_bytes = 0;
     let mut emitted = 0;
     while emitted < tokens {
--- a/mimosashift/src/node/postings/driver.rs
+++ b/mimosashift/src/node/postings/driver.rs
@@ -13,8 +13,8 @@
 use crate::event::{Event, Logger};
 use crate::node::clock::Clock;
 use crate::platform::{Outcome, Refusal};
-use crate::posting::batch::Member;
-use crate::posting::{Action, Actions, Answer, Delivery, Machine, Request, Settings};
+use crate::posting::batch::BatchMember;
+use crate::posting::{Action, Actions, CallResult, Delivery, Machine, Request, Settings};
 use crate::time::Instant;
 
 /// Time between two looks while nothing waits.
@@ -45,7 +45,7 @@
     /// Send the call, unless this instant has passed.
     Send(Instant),
     /// Answer the caller; nothing follows.
-    Answer(Answer),
+    Answer(CallResult),
 }
 
 /// All postings that are not finished, also those already answered.
@@ -55,7 +55,7 @@
     tries: HashMap<u64, Try>,
     /// When each try wants to be woken.
     wakes: BTreeSet<(Instant, u64)>,
-    writes: Sender<Member<u64>>,
+    writes: Sender<BatchMember<u64>>,
     unsettled: Arc<AtomicUsize>,
 }
 
@@ -64,7 +64,7 @@
     key: Option<String>,
     steps: Sender<Step>,
     wake: Option<Instant>,
-    answer: Option<Answer>,
+    answer: Option<CallResult>,
 }
 
 impl Driver {
@@ -72,7 +72,7 @@
     pub fn new(
         clock: Clock,
         log: Logger,
-        writes: Sender<Member<u64>>,
+        writes: Sender<BatchMember<u64>>,
         unsettled: Arc<AtomicUsize>,
     ) -> Self {
         let (tries, wakes) = (HashMap::new(), BTreeSet::new());
@@ -149,7 +149,7 @@
         for action in actions {
             match action {
                 Action::Commit { transaction, repeat } => {
-                    let _ = self.writes.send(Member { tag: id, transaction, repeat });
+                    let _ = self.writes.send(BatchMember { tag: id, transaction, repeat });
                 }
                 Action::Send { before } => {
                     posting.note_claimed(&self.log);
@@ -182,11 +182,11 @@
         }
     }
 
-    fn note_answer(&self, answer: &Answer, log: &Logger) {
+    fn note_answer(&self, answer: &CallResult, log: &Logger) {
         let Some(key) = &self.key else { return };
         match answer {
-            Answer::Unknown => emit!(log, Event::PostingUnknown, "key" => key),
-            Answer::Mismatch => emit!(log, Event::PostingMismatch, "key" => key),
+            CallResult::Unknown => emit!(log, Event::PostingUnknown, "key" => key),
+            CallResult::Mismatch => emit!(log, Event::PostingMismatch, "key" => key),
             _ => {}
         }
     }
@@ -198,9 +198,9 @@
         let landed =
             matches!(outcome, Outcome::Done(_) | Outcome::NotDone(Refusal::Conflict(Some(_))));
         match answer {
-            Answer::Replied(_) if landed => emit!(log, Event::PostingRecorded, "key" => key),
-            Answer::Replied(_) => emit!(log, Event::PostingUnknown, "key" => key),
-            Answer::NotRun if landed => emit!(log, Event::PostingWithdrawn, "key" => key),
+            CallResult::Replied(_) if landed => emit!(log, Event::PostingRecorded, "key" => key),
+            CallResult::Replied(_) => emit!(log, Event::PostingUnknown, "key" => key),
+            CallResult::NotRun if landed => emit!(log, Event::PostingWithdrawn, "key" => key),
             _ => {}
         }
     }
--- a/mimosashift/src/node/relay.rs
+++ b/mimosashift/src/node/relay.rs
@@ -19,7 +19,7 @@
 use crate::event::Event;
 use crate::health::{Availability, Exchange, HealthView};
 use crate::pipeline::{
-    Action, Actions, Context, Limits, Machine, Outcome, Replacement, Request, Scope,
+    Action, Actions, Context, Machine, Outcome, Replacement, Request, Scope, TimeoutLimits,
 };
 use crate::resource::Name;
 use crate::route::{Chain, Choice, Refusal, RouteRequest, Sources, Stage};
@@ -91,7 +91,7 @@
         let mut budget = node.lock_budget();
         let now = node.clock.now();
         let mut context = Context { now, rng: &mut relay.rng, budget: &mut budget };
-        Machine::start(&mut context, job.request, chain, cost, Limits::default())
+        Machine::start(&mut context, job.request, chain, cost, TimeoutLimits::default())
     };
     Ok(relay.drive(machine, actions, emit))
 }
@@ -133,7 +133,7 @@
             }
             let next = machine.next_deadline().expect("a machine that has not finished waits");
             thread::sleep(next.since(self.node.clock.now()));
-            queue.extend(self.input(|context| machine.on_time(context)));
+            queue.extend(self.input(|context| machine.on_timer(context)));
         }
     }
 
@@ -285,7 +285,7 @@
         if dropped > 0 {
             emit!(self.node.log, Event::ReplyDropped, "count" => dropped);
         }
-        Done { outcome, recovered: machine.recovered(), overloaded: self.overloaded }
+        Done { outcome, recovered: machine.recoveries(), overloaded: self.overloaded }
     }
 }
 
--- a/mimosashift/src/pipeline/hedge.rs
+++ b/mimosashift/src/pipeline/hedge.rs
@@ -9,7 +9,7 @@
 use super::recovery::Cost;
 use super::reply_filter::{DropCounts, DropReason};
 use super::retry::Budget;
-use super::step_times::Limits;
+use super::step_times::TimeoutLimits;
 use crate::engine::{Failure, Label, Reply};
 use crate::resource::Name;
 use crate::route::Chain;
@@ -49,7 +49,7 @@
         request: Request,
         chain: Chain,
         cost: Cost,
-        limits: Limits,
+        limits: TimeoutLimits,
         delay: Option<Duration>,
     ) -> (Self, Actions) {
         let (machine, actions) = Machine::start(ctx, request, chain, cost, limits);
@@ -117,12 +117,12 @@
         self.merge(1, actions)
     }
 
-    /// See [`Machine::on_time`]; a second chain is charged to the budget `hedges`,
+    /// See [`Machine::on_timer`]; a second chain is charged to the budget `hedges`,
     /// which is separate from the retry budget.
-    pub fn on_time(&mut self, ctx: &mut Context<'_>, hedges: &mut Budget) -> Actions {
+    pub fn on_timer(&mut self, ctx: &mut Context<'_>, hedges: &mut Budget) -> Actions {
         let mut actions = Actions::new();
         for index in 0..self.machines.len() {
-            let more = self.machines[index].on_time(ctx);
+            let more = self.machines[index].on_timer(ctx);
             actions.extend(self.merge(index, more));
         }
         if matches!(self.state, State::Waiting(at) if ctx.now >= at) {
@@ -167,8 +167,8 @@
     }
 
     /// Number of recoveries so far, on both chains.
-    pub fn recovered(&self) -> u32 {
-        self.machines.iter().map(Machine::recovered).sum()
+    pub fn recoveries(&self) -> u32 {
+        self.machines.iter().map(Machine::recoveries).sum()
     }
 
     /// Whether a second chain was started.
--- a/mimosashift/src/pipeline/machine/mod.rs
+++ b/mimosashift/src/pipeline/machine/mod.rs
@@ -4,11 +4,11 @@
 
 use smallvec::SmallVec;
 
-use super::action::{Actions, Code, Context, Outcome, Request};
+use super::action::{Actions, Context, FailureCode, Outcome, Request};
 use super::recovery::{Cost, Transfer};
 use super::reply_filter::{DropCounts, ReplyFilter};
 use super::retry;
-use super::step_times::{Limits, StepTimes};
+use super::step_times::{StepTimes, TimeoutLimits};
 use crate::engine::{Failure, Input, Label, Output, Reply};
 use crate::resource::{Layers, Name};
 use crate::route::Chain;
@@ -93,8 +93,8 @@
     Running { sent: Instant, until: Instant },
     /// Waiting before the next retry.
     Backoff { until: Instant, recovery: Recovery },
-    /// A chain was requested; `retry_at` is the time of the next request if the last
-    /// one found none.
+    /// A chain was requested; `retry_at` is the time of the next request if the
+    /// last one found none.
     Choosing { lost: Layers, since: Instant, retry_at: Option<Instant>, searches: u32 },
     /// The first of these transfers is in flight.
     Importing { transfers: SmallVec<[Transfer; 2]>, until: Instant },
@@ -128,7 +128,7 @@
         request: Request,
         chain: Chain,
         cost: Cost,
-        limits: Limits,
+        limits: TimeoutLimits,
     ) -> (Self, Actions) {
         let mut machine = Self::new(request, chain, cost, StepTimes::new(limits), 1, ctx.now);
         let mut actions = Actions::new();
@@ -246,7 +246,7 @@
             return actions;
         }
         if ctx.now.since(since) >= CHAIN_SEARCH_TIMEOUT {
-            self.fail(Code::NoChain, Some(AVOID_PERIOD), &mut actions);
+            self.fail(FailureCode::NoChain, Some(AVOID_PERIOD), &mut actions);
             return actions;
         }
         let pause = MIN_CHAIN_SEARCH_PAUSE + retry::backoff(searches, None, ctx.rng);
@@ -286,7 +286,7 @@
 
     /// Handles the passing of time; must be called at [`Machine::next_deadline`]
     /// or later.
-    pub fn on_time(&mut self, ctx: &mut Context<'_>) -> Actions {
+    pub fn on_timer(&mut self, ctx: &mut Context<'_>) -> Actions {
         let mut actions = Actions::new();
         if self.finish_if_expired(ctx, &mut actions) {
             return actions;
@@ -321,7 +321,7 @@
         actions
     }
 
-    /// When [`Machine::on_time`] must be called next, or `None` if the request is
+    /// When [`Machine::on_timer`] must be called next, or `None` if the request is
     /// finished.
     pub fn next_deadline(&self) -> Option<Instant> {
         let next = match self.phase {
@@ -350,7 +350,7 @@
     }
 
     /// Number of recoveries so far.
-    pub const fn recovered(&self) -> u32 {
+    pub const fn recoveries(&self) -> u32 {
         self.total_recoveries
     }
 
--- a/mimosashift/src/pipeline/mod.rs
+++ b/mimosashift/src/pipeline/mod.rs
@@ -12,8 +12,8 @@
 pub mod retry;
 mod step_times;
 
-pub use action::{Action, Actions, Code, Context, Effect, Outcome, Request, Scope};
+pub use action::{Action, Actions, Context, Effect, FailureCode, Outcome, Request, Scope};
 pub use hedge::HedgedRequest;
 pub use machine::{Machine, Replacement};
 pub use reply_filter::{DropCounts, DropReason, ReplyFilter};
-pub use step_times::{Limits, StepTimes};
+pub use step_times::{StepTimes, TimeoutLimits};
--- a/mimosashift/src/posting/mod.rs
+++ b/mimosashift/src/posting/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to services that must not be executed twice.
+//! Postings: calls to services that must not be executed twice.
 //!
 //! A call with an idempotency key is claimed by one conditional write before
 //! it is sent, so that no other router sends it too. The protocol and its
@@ -91,9 +91,9 @@
     Lost,
 }
 
-/// What the caller is answered.
+/// Result of a call, as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Answer {
+pub enum CallResult {
     /// The service's reply to this attempt.
     Replied(Reply),
     /// The recorded reply to an earlier attempt at the same call.
--- a/mimosashift/src/posting/resolve.rs
+++ b/mimosashift/src/posting/resolve.rs
@@ -7,13 +7,14 @@
 use super::{Entry, State};
 use crate::platform::{Check, Row, Transaction, Write};
 
-/// Minimum age of a claim that may be resolved; far above the time within
-/// which its router may still send the call.
+/// Minimum age of a claim that may be resolved. It is far above the time within
+/// which its router may still send the call, so that a call resolved as not run
+/// is not sent later.
 pub const MIN_RESOLVE_AGE: Duration = Duration::from_secs(600);
 
 /// How an operator resolves a claim whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Resolution {
     /// The call ran; its key cannot be reused.
     Ran,
     /// The call did not run; its key may be reused.
@@ -45,7 +46,7 @@
 /// appends the `audit` record.
 pub fn resolve(
     row: &Row,
-    verdict: Verdict,
+    resolution: Resolution,
     audit: Write,
     unix_ms: u64,
 ) -> Result<Transaction, Error> {
@@ -57,9 +58,9 @@
     if age < MIN_RESOLVE_AGE {
         return Err(Error::TooRecent(row.key.key.clone(), age));
     }
-    let state = match verdict {
-        Verdict::Ran => State::Ran,
-        Verdict::NotRun => State::Released,
+    let state = match resolution {
+        Resolution::Ran => State::Ran,
+        Resolution::NotRun => State::Released,
     };
     let value = Entry { state, ..entry }.encode();
     Ok(Transaction {
--- a/mimosashift/tests/common/posting_sim.rs
+++ b/mimosashift/tests/common/posting_sim.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use mimosashift::platform::{Key, Outcome, Refusal, Transaction};
-use mimosashift::posting::batch::{Batch, Member, Queue};
+use mimosashift::posting::batch::{Batch, BatchMember, Queue};
 use mimosashift::posting::{
-    Action, Actions, Answer, Body, Delivery, Digest, Machine, Nonce, Reply, Request, Settings,
+    Action, Actions, Body, CallResult, Delivery, Digest, Machine, Nonce, Reply, Request, Settings,
     TABLE,
 };
 use mimosashift::time::Instant;
@@ -79,7 +79,7 @@
     commits: Vec<Commit>,
     dead: BTreeSet<usize>,
     tries: Vec<u8>,
-    answers: Vec<Option<Answer>>,
+    answers: Vec<Option<CallResult>>,
     executed: Vec<Vec<usize>>,
     counts: Counts,
 }
@@ -199,7 +199,7 @@
             match action {
                 Action::Commit { transaction, repeat } => {
                     let router = self.attempts[attempt].router;
-                    let member = Member { tag: attempt, transaction, repeat };
+                    let member = BatchMember { tag: attempt, transaction, repeat };
                     self.queues[router].push(member, self.now);
                     let due = self.queues[router].due_at().unwrap().max(self.now);
                     self.at(due, Event::Flush(router));
@@ -232,14 +232,15 @@
         self.after(transit, Event::Delivered(attempt));
     }
 
-    fn answer(&mut self, attempt: usize, answer: Answer) {
+    fn answer(&mut self, attempt: usize, answer: CallResult) {
         let call = self.attempts[attempt].call;
-        self.attempts[attempt].not_run = answer == Answer::NotRun;
-        if matches!(answer, Answer::NotRun | Answer::Unknown) {
+        self.attempts[attempt].not_run = answer == CallResult::NotRun;
+        if matches!(answer, CallResult::NotRun | CallResult::Unknown) {
             let after = self.millis(500..3_000);
             self.after(after, Event::Start(call));
         }
-        let known = matches!(self.answers[call], Some(Answer::Replied(_) | Answer::Recorded(_)));
+        let known =
+            matches!(self.answers[call], Some(CallResult::Replied(_) | CallResult::Recorded(_)));
         if !known {
             self.answers[call] = Some(answer);
         }
@@ -325,12 +326,12 @@
             counts.false_not_run +=
                 executed.iter().filter(|attempt| self.attempts[**attempt].not_run).count() as u64;
             match &self.answers[call] {
-                Some(Answer::Replied(got) | Answer::Recorded(got)) => {
+                Some(CallResult::Replied(got) | CallResult::Recorded(got)) => {
                     counts.replied += 1;
                     let given = executed.iter().any(|attempt| reply(*attempt) == *got);
                     counts.unknown_reply += u64::from(!given);
                 }
-                Some(Answer::NotRun) => counts.refused += 1,
+                Some(CallResult::NotRun) => counts.refused += 1,
                 _ => counts.unknown += 1,
             }
         }
--- a/mimosashift/tests/common/posting_world.rs
+++ b/mimosashift/tests/common/posting_world.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use mimosashift::platform::{Check, Key, Outcome, Refusal, Row, Write};
-use mimosashift::posting::resolve::{MIN_RESOLVE_AGE, Verdict, resolve};
+use mimosashift::posting::resolve::{MIN_RESOLVE_AGE, Resolution, resolve};
 use mimosashift::posting::{
-    Action, Actions, Answer, Body, Delivery, Digest, Entry, Machine, Nonce, Reply, Request,
+    Action, Actions, Body, CallResult, Delivery, Digest, Entry, Machine, Nonce, Reply, Request,
     Settings, State, TABLE,
 };
 use mimosashift::time::Instant;
@@ -19,16 +19,16 @@
     None,
     SendBeforeClaim,
     SharedNonce,
-    WithdrawAfterSend,
+    ReleaseAfterSend,
     TrustStaleAbsent,
-    DeleteOnWithdraw,
-    ResolveYoungClaim,
+    DeleteOnRelease,
+    ResolveRecentClaim,
 }
 
 /// How many more events of each kind may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EventLimits {
-    pub tries: u8,
+    pub attempts: u8,
     pub faults: u8,
     pub crashes: u8,
     pub resolves: u8,
@@ -50,7 +50,7 @@
     answered: bool,
 }
 
-/// The whole system.
+/// State of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     mistake: Mistake,
@@ -61,7 +61,7 @@
     delayed_writes: Vec<Pending>,
     delayed_calls: Vec<u64>,
     pub executed: Vec<u64>,
-    pub answers: Vec<(u64, Answer)>,
+    pub answers: Vec<(u64, CallResult)>,
     next_nonce: u64,
     outcome_lost: bool,
 }
@@ -101,7 +101,7 @@
         let mut next = self.clone();
         let nonce = next.next_nonce;
         next.next_nonce += 1;
-        next.left.tries -= 1;
+        next.left.attempts -= 1;
         let used_nonce = if self.mistake == Mistake::SharedNonce { 1 } else { nonce };
         let digest = Digest::new("POST", "/charges", b"{}");
         let request = Request { key: Some(key()), nonce: Nonce(used_nonce), digest, unix_ms: 0 };
@@ -137,13 +137,13 @@
                         panic!("one put expected")
                     };
                     let released = value.contains("\"released\"");
-                    let delete = released && mistake == Mistake::DeleteOnWithdraw;
+                    let delete = released && mistake == Mistake::DeleteOnRelease;
                     router.pending =
                         Some(Pending { replaced, value: (!delete).then(|| value.clone()) });
                 }
                 Action::Send { before } => router.send_before = Some(before),
                 Action::Answer(answer) => {
-                    assert!(!router.answered, "one answer per try");
+                    assert!(!router.answered, "one answer per attempt");
                     router.answered = true;
                     self.answers.push((router.nonce, answer));
                 }
@@ -216,7 +216,7 @@
             let mut delivery = delivery;
             if delivery == Delivery::Lost {
                 next.outcome_lost = true;
-                if self.mistake == Mistake::WithdrawAfterSend {
+                if self.mistake == Mistake::ReleaseAfterSend {
                     delivery = Delivery::NotConnected;
                 }
             }
@@ -294,16 +294,16 @@
                 && !r.machine.is_finished()
                 && r.now < Instant::ZERO + SETTINGS.send_window
         };
-        let young = self.routers.iter().flatten().any(may_send);
+        let recent = self.routers.iter().flatten().any(may_send);
         let call_in_flight = self.delayed_calls.contains(&owner);
-        if call_in_flight || (young && self.mistake != Mistake::ResolveYoungClaim) {
+        if call_in_flight || (recent && self.mistake != Mistake::ResolveRecentClaim) {
             return None;
         }
         let ran = self.executed.contains(&owner);
-        let verdict = if ran { Verdict::Ran } else { Verdict::NotRun };
+        let resolution = if ran { Resolution::Ran } else { Resolution::NotRun };
         let age = u64::try_from(MIN_RESOLVE_AGE.as_millis()).unwrap();
         let audit = Write::Delete(key());
-        let transaction = resolve(&row, verdict, audit, age).ok()?;
+        let transaction = resolve(&row, resolution, audit, age).ok()?;
         let Write::Put(_, value) = &transaction.writes[0] else { panic!("a put expected") };
         let mut next = self.clone();
         next.left.resolves -= 1;
@@ -324,7 +324,7 @@
         let mut out = Vec::new();
         for (index, router) in self.routers.iter().enumerate() {
             let idle = router.as_ref().is_none_or(|r| r.machine.is_finished());
-            if idle && self.left.tries > 0 {
+            if idle && self.left.attempts > 0 {
                 out.push(self.start(index));
             }
             if let Some(router) = router {
@@ -356,11 +356,13 @@
         let ran = |nonce: &u64| self.executed.contains(nonce);
         for (nonce, answer) in &self.answers {
             match answer {
-                Answer::NotRun if ran(nonce) => {
-                    return Some(format!("try {nonce} ran, said not run"));
+                CallResult::NotRun if ran(nonce) => {
+                    return Some(format!("attempt {nonce} ran, but was reported as not run"));
                 }
-                Answer::Recorded(r) | Answer::Replied(r) if !ran(&nonce_of(r)) => {
-                    return Some(format!("try {nonce} got an answer that no run gave"));
+                CallResult::Recorded(r) | CallResult::Replied(r) if !ran(&nonce_of(r)) => {
+                    return Some(format!(
+                        "attempt {nonce} got an answer that no execution returned"
+                    ));
                 }
                 _ => {}
             }
--- a/mimosashift/tests/pipeline_faults/main.rs
+++ b/mimosashift/tests/pipeline_faults/main.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use mimosashift::engine::RequestId;
-use mimosashift::pipeline::retry::{Budget, Share};
-use mimosashift::pipeline::{Context, Effect, HedgedRequest, Limits, Outcome, Request};
+use mimosashift::pipeline::retry::{Budget, BudgetSettings};
+use mimosashift::pipeline::{Context, Effect, HedgedRequest, Outcome, Request, TimeoutLimits};
 use mimosashift::time::Instant;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -34,7 +34,7 @@
     copied: u32,
     rebuilt: u32,
     hedged: u32,
-    lost: u32,
+    unexpected_failures: u32,
     violations: Vec<String>,
 }
 
@@ -134,8 +134,8 @@
     if let Some(after) = schedule.cancel {
         world.enqueue(after, Event::Cancel);
     }
-    let share = Share { burst: schedule.burst, ..Share::default() };
-    let hedges = Budget::new(Share { burst: 10.0, ..share }, Instant::ZERO);
+    let share = BudgetSettings { burst: schedule.burst, ..BudgetSettings::default() };
+    let hedges = Budget::new(BudgetSettings { burst: 10.0, ..share }, Instant::ZERO);
     let mut budgets = Budgets { retries: Budget::new(share, Instant::ZERO), hedges };
     let mut ctx =
         Context { now: Instant::ZERO, rng: &mut Pcg64Mcg::new(1), budget: &mut budgets.retries };
@@ -144,7 +144,7 @@
         schedule.request(),
         chain(first),
         cost(1_000),
-        Limits::default(),
+        TimeoutLimits::default(),
         schedule.hedge,
     );
     world.act(actions);
@@ -187,31 +187,34 @@
         return stats.violations.push(format!("seed {seed}: never ended"));
     };
     world.check(at <= schedule.deadline, "the end came after the deadline");
-    if let (Mutant::ClaimNotRun, Outcome::Failed { effect, .. }) = (world.mutant, &mut outcome) {
+    if let (Mutant::ReportNotRun, Outcome::Failed { effect, .. }) = (world.mutant, &mut outcome) {
         *effect = Effect::NotRun;
     }
     let kept = world.engines.iter().any(|engine| !engine.caches.is_empty());
     world.check(!kept, "an engine was left with a cache");
-    let ran = world.engines.iter().any(|engine| engine.ran > 0);
+    let ran = world.engines.iter().any(|engine| engine.steps_run > 0);
     match outcome {
         Outcome::Complete => {
-            world.check(world.emitted == world.expected, "complete, but not whole");
+            world.check(
+                world.emitted == world.expected,
+                "complete, but the tokens are not the expected ones",
+            );
             stats.completed += 1;
-            stats.recovered += u32::from(hedge.recovered() > 0);
+            stats.recovered += u32::from(hedge.recoveries() > 0);
         }
         Outcome::Cancelled => stats.cancelled += 1,
         Outcome::Failed { effect, .. } | Outcome::DeadlineExceeded { effect } => {
             if effect == Effect::NotRun {
                 stats.not_run += 1;
-                world.check(!ran, "said not run, but ran");
+                world.check(!ran, "reported as not run, but ran");
             }
             match outcome {
                 Outcome::Failed { .. } => stats.failed += 1,
                 _ => stats.deadline += 1,
             }
             if schedule.must_complete {
-                stats.lost += 1;
-                world.check(false, "lost with an endpoint and time to spare");
+                stats.unexpected_failures += 1;
+                world.check(false, "failed although it must complete");
             }
         }
     }
@@ -227,7 +230,7 @@
     (first..first + 5_000).for_each(|seed| run(seed, Mutant::None, &mut stats));
     eprintln!("{stats:?}");
     assert!(stats.violations.is_empty(), "{:#?}", &stats.violations);
-    assert_eq!(stats.lost, 0);
+    assert_eq!(stats.unexpected_failures, 0);
     assert!(stats.recovered > 1_000 && stats.not_run > 10 && stats.dropped > 1_000);
 }
 
@@ -237,7 +240,7 @@
 #[test_case(Mutant::AnyPosition, "a wrong token"; "ledger ignores position")]
 #[test_case(Mutant::AnyLayers, "a wrong token"; "ledger ignores layers")]
 #[test_case(Mutant::EmitTwice, "a wrong token"; "token emitted twice")]
-#[test_case(Mutant::ClaimNotRun, "said not run, but ran"; "false claim of not run")]
+#[test_case(Mutant::ReportNotRun, "reported as not run, but ran"; "false report of not run")]
 #[test_case(Mutant::KeepCache, "left with a cache"; "cache not released")]
 #[test_case(Mutant::IgnoreDeadline, "after the deadline"; "deadline ignored")]
 fn checks_find_a_faulty_machine(mutant: Mutant, violation: &str) {
@@ -260,7 +263,7 @@
     assert!(pauses[999] <= ms(1_000));
 }
 
-/// The longest time between two tokens.
+/// Returns the longest time between two tokens.
 fn pause(seed: u64, fault: Fault) -> Duration {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut schedule = Schedule::without_faults(&mut rng);
@@ -272,9 +275,10 @@
     world.longest_pause
 }
 
-/// One request in ten meets a slow link; a second chain must cut the tail.
+/// One request in ten uses a slow link; a second chain must reduce the tail
+/// latency.
 #[test]
-fn hedging_cuts_the_tail_of_the_first_token() {
+fn hedging_reduces_tail_latency_of_the_first_token() {
     let tail = |hedge| {
         let mut times: Vec<Duration> = (0..2_000).map(|seed| first_token(seed, hedge)).collect();
         times.sort();
@@ -295,5 +299,5 @@
     }
     let (world, _) = simulate(&schedule, Mutant::None, rng);
     assert_eq!(world.emitted, world.expected, "seed {seed}");
-    world.first_token.expect("the answer is whole").since(Instant::ZERO)
+    world.first_token.expect("the first token was emitted").since(Instant::ZERO)
 }
--- a/mimosashift/tests/pipeline_hedge.rs
+++ b/mimosashift/tests/pipeline_hedge.rs
@@ -4,10 +4,10 @@
 
 use mimosashift::engine::{Failure, Label, Output, Reply, RequestId};
 use mimosashift::pipeline::recovery::Cost;
-use mimosashift::pipeline::retry::{Budget, Share};
+use mimosashift::pipeline::retry::{Budget, BudgetSettings};
 use mimosashift::pipeline::{
-    Action, Actions, Context, DropReason, Effect, HedgedRequest, Limits, Outcome, Replacement,
-    Request,
+    Action, Actions, Context, DropReason, Effect, HedgedRequest, Outcome, Replacement, Request,
+    TimeoutLimits,
 };
 use mimosashift::resource::{Layers, Name};
 use mimosashift::route::{Chain, Stage};
@@ -53,7 +53,7 @@
 impl Harness {
     fn new(retries: f64, hedges: f64) -> Self {
         let budget = |burst| {
-            let share = Share { per_request: 0.0, per_second: 0.1, burst };
+            let share = BudgetSettings { per_request: 0.0, per_second: 0.1, burst };
             Budget::new(share, Instant::ZERO)
         };
         let (mut rng, mut retries) = (Pcg64Mcg::new(1), budget(retries));
@@ -72,7 +72,7 @@
             request,
             chain("a", "b"),
             cost(),
-            Limits::default(),
+            TimeoutLimits::default(),
             Some(DELAY),
         );
         let (now, hedges) = (Instant::ZERO, budget(hedges));
@@ -100,7 +100,7 @@
     fn wait(&mut self) {
         self.now = self.hedge.next_deadline().expect("the request is not over");
         let mut ctx = Context { now: self.now, rng: &mut self.rng, budget: &mut self.retries };
-        let actions = self.hedge.on_time(&mut ctx, &mut self.hedges);
+        let actions = self.hedge.on_timer(&mut ctx, &mut self.hedges);
         self.take(actions);
     }
 
--- a/mimosashift/tests/posting.rs
+++ b/mimosashift/tests/posting.rs
@@ -12,11 +12,11 @@
 use mimosashift::platform::breaker::{self, Breaker};
 use mimosashift::platform::budget::{Budget, Class};
 use mimosashift::platform::{Check, Key, Outcome, Refusal, Row, Transaction, Write};
-use mimosashift::posting::batch::{Batch, Member, Queue};
-use mimosashift::posting::resolve::{self, Verdict};
+use mimosashift::posting::batch::{Batch, BatchMember, Queue};
+use mimosashift::posting::resolve::{self, Resolution};
 use mimosashift::posting::{
-    Action, Answer, Body, Delivery, Digest, Entry, MAX_RECORDED_BODY_BYTES, Machine, Nonce, Reply,
-    Request, Settings, State, TABLE, claim_key,
+    Action, Body, CallResult, Delivery, Digest, Entry, MAX_RECORDED_BODY_BYTES, Machine, Nonce,
+    Reply, Request, Settings, State, TABLE, claim_key,
 };
 use mimosashift::resource::Name;
 use mimosashift::time::Instant;
@@ -43,7 +43,7 @@
 }
 
 /// Runs one attempt to its end, with the given result of each send.
-fn call(rows: &mut Rows, request: Request, delivery: &Delivery) -> Answer {
+fn call(rows: &mut Rows, request: Request, delivery: &Delivery) -> CallResult {
     let (mut machine, actions) = Machine::new(Settings::default(), request, NOW);
     let mut pending: Vec<Action> = actions.into_iter().rev().collect();
     let mut answers = Vec::new();
@@ -66,18 +66,18 @@
 struct Reference(HashMap<Key, (Digest, Option<Reply>)>);
 
 impl Reference {
-    fn call(&mut self, request: &Request, delivery: &Delivery) -> Answer {
+    fn call(&mut self, request: &Request, delivery: &Delivery) -> CallResult {
         let used = request.key.as_ref().and_then(|key| self.0.get(key));
         match used {
-            Some((digest, _)) if *digest != request.digest => return Answer::Mismatch,
-            Some((_, Some(reply))) => return Answer::Recorded(reply.clone()),
-            Some((_, None)) => return Answer::Unknown,
+            Some((digest, _)) if *digest != request.digest => return CallResult::Mismatch,
+            Some((_, Some(reply))) => return CallResult::Recorded(reply.clone()),
+            Some((_, None)) => return CallResult::Unknown,
             None => {}
         }
         let (answer, reply) = match delivery {
-            Delivery::NotConnected => return Answer::NotRun,
-            Delivery::Replied(reply) => (Answer::Replied(reply.clone()), Some(reply.clone())),
-            Delivery::Lost => (Answer::Unknown, None),
+            Delivery::NotConnected => return CallResult::NotRun,
+            Delivery::Replied(reply) => (CallResult::Replied(reply.clone()), Some(reply.clone())),
+            Delivery::Lost => (CallResult::Unknown, None),
         };
         if let Some(key) = &request.key {
             self.0.insert(key.clone(), (request.digest, reply));
@@ -136,7 +136,7 @@
     assert!(executed_twice > 0);
 }
 
-fn members(count: usize) -> Vec<Member<usize>> {
+fn members(count: usize) -> Vec<BatchMember<usize>> {
     let member = |tag: usize| {
         let digest = Digest::new("POST", "/", b"");
         let request = Request {
@@ -149,12 +149,12 @@
         let Some(Action::Commit { transaction, repeat }) = actions.pop() else {
             panic!("no claim")
         };
-        Member { tag, transaction, repeat }
+        BatchMember { tag, transaction, repeat }
     };
     (0..count).map(member).collect()
 }
 
-fn batch(members: Vec<Member<usize>>) -> Batch<usize> {
+fn batch(members: Vec<BatchMember<usize>>) -> Batch<usize> {
     let mut queue = Queue::new(members.len(), Duration::from_millis(3));
     for member in members {
         queue.push(member, NOW);
@@ -267,12 +267,12 @@
         |key| Request { key, nonce: Nonce(1), digest: Digest::new("", "", b""), unix_ms: 0 };
     let (mut keyed, _) = Machine::new(Settings::default(), request(Some(key("k"))), NOW);
     let actions = keyed.committed(&Outcome::NotDone(Refusal::Unavailable), NOW);
-    assert_eq!(actions[..], [Action::Answer(Answer::NotRun)]);
+    assert_eq!(actions[..], [Action::Answer(CallResult::NotRun)]);
     assert!(keyed.is_finished());
     let (mut unkeyed, actions) = Machine::new(Settings::default(), request(None), NOW);
     assert!(matches!(actions[..], [Action::Send { .. }]));
     let actions = unkeyed.delivered(Delivery::Lost, NOW);
-    assert_eq!(actions[..], [Action::Answer(Answer::Unknown)]);
+    assert_eq!(actions[..], [Action::Answer(CallResult::Unknown)]);
 }
 
 #[test]
@@ -321,7 +321,7 @@
     let audit = Write::Put(Key { table: "audit".to_owned(), key: "1".to_owned() }, "{}".to_owned());
     let old = u64::try_from(resolve::MIN_RESOLVE_AGE.as_millis()).unwrap();
     let claimed = row("k", State::Claimed);
-    let resolve = |row, at| resolve::resolve(row, Verdict::NotRun, audit.clone(), at);
+    let resolve = |row, at| resolve::resolve(row, Resolution::NotRun, audit.clone(), at);
     assert!(matches!(resolve(&claimed, old - 1), Err(resolve::Error::TooRecent(..))));
     let transaction = resolve(&claimed, old).unwrap();
     assert_eq!(transaction.checks, [Check::Revision(key("k"), 7)]);
