--- a/mimosabench/src/slopes/placement.rs
+++ b/mimosabench/src/slopes/placement.rs
@@ -2,7 +2,7 @@
 
 use mimosashift::order::Target;
 use mimosashift::order::dispatch::OrderQueue;
-use mimosashift::order::placement::{Candidate, Policy, Range, host, plan};
+use mimosashift::order::placement::{Candidate, Policy, RangeCopies, choose_endpoint, plan};
 use mimosashift::resource::{Layers, ModelLayers};
 
 use super::series::series;
@@ -27,7 +27,7 @@
         }),
         series([ROLE, "host of one load", "µs", "endpoints"], &ENDPOINTS, |endpoints| {
             let candidates: Vec<_> = (0..endpoints).map(candidate).collect();
-            cpu::micros_per_call(|| host(&candidates, STAGE_BYTES))
+            cpu::micros_per_call(|| choose_endpoint(&candidates, STAGE_BYTES))
         }),
         series([ROLE, "open orders, one each", "bytes", "endpoints"], &ENDPOINTS, |endpoints| {
             memory::retained(|| (0..endpoints).map(|_| dispatch()).collect::<Vec<_>>()).1
@@ -35,8 +35,8 @@
     ]
 }
 
-fn range(number: usize) -> Range {
-    Range { wanted: 250, live: 240 + (number % 10) as u16, loading: 0 }
+fn range(number: usize) -> RangeCopies {
+    RangeCopies { wanted: 250, live: 240 + (number % 10) as u16, loading: 0 }
 }
 
 fn candidate(number: usize) -> Candidate {
--- a/mimosashift/examples/placement.rs
+++ b/mimosashift/examples/placement.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::io::Write;
 
-use mimosashift::order::placement::{Policy, Range, plan};
+use mimosashift::order::placement::{Policy, RangeCopies, plan};
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -201,7 +201,7 @@
     /// Orders copies on spare slots as the policy says.
     fn replace_lost(&mut self) {
         let held = self.spares.iter().chain(&self.spare_loads).map(|n| usize::from(*n)).sum();
-        let ranges: [Range; RANGES] = std::array::from_fn(|range| Range {
+        let ranges: [RangeCopies; RANGES] = std::array::from_fn(|range| RangeCopies {
             wanted: wanted(range),
             live: self.copies(range),
             loading: self.spare_loads[range],
--- a/mimosashift/src/order/pace.rs
+++ b/mimosashift/src/order/pace.rs
@@ -24,7 +24,7 @@
     }
 
     /// Admits a load of `bytes`, or returns `false` without a change.
-    pub fn start(&mut self, bytes: u64, now: Instant) -> bool {
+    pub fn try_start(&mut self, bytes: u64, now: Instant) -> bool {
         if self.loads >= self.max_loads || self.busy_until > now + Self::AHEAD {
             return false;
         }
--- a/mimosashift/src/order/placement.rs
+++ b/mimosashift/src/order/placement.rs
@@ -21,7 +21,7 @@
 
 /// Copies of one layer range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Range {
+pub struct RangeCopies {
     /// Copies wanted.
     pub wanted: u16,
     /// Copies that serve.
@@ -57,7 +57,7 @@
     }
 }
 
-impl Range {
+impl RangeCopies {
     /// Copies to order under `policy`.
     pub fn missing(self, policy: Policy) -> u16 {
         policy.threshold(self.wanted).saturating_sub(self.live.saturating_add(self.loading))
@@ -73,8 +73,8 @@
 
 /// The ranges to copy next, those with the fewest live copies first; a range
 /// appears once for each copy, and copies of one range follow their count.
-pub fn plan(policy: Policy, ranges: &[Range], max_loads: usize) -> SmallVec<[usize; 8]> {
-    let mut ranges = SmallVec::<[Range; 16]>::from_slice(ranges);
+pub fn plan(policy: Policy, ranges: &[RangeCopies], max_loads: usize) -> SmallVec<[usize; 8]> {
+    let mut ranges = SmallVec::<[RangeCopies; 16]>::from_slice(ranges);
     let mut chosen = SmallVec::new();
     while chosen.len() < max_loads {
         let short = ranges.iter().enumerate().filter(|(_, range)| range.missing(policy) > 0);
@@ -91,7 +91,7 @@
 
 /// The endpoint that takes a copy of `bytes`: in the failure domain with the
 /// fewest copies, then the one with the most free memory.
-pub fn host(candidates: &[Candidate], bytes: u64) -> Option<&Candidate> {
+pub fn choose_endpoint(candidates: &[Candidate], bytes: u64) -> Option<&Candidate> {
     let fits = candidates.iter().filter(|candidate| candidate.free_bytes >= bytes);
     fits.min_by_key(|c| (c.domain_copies, u64::MAX - c.free_bytes, &c.endpoint))
 }
--- a/mimosashift/tests/order.rs
+++ b/mimosashift/tests/order.rs
@@ -5,7 +5,7 @@
 use mimosashift::order::dispatch::{MIN_REPEAT, OrderQueue};
 use mimosashift::order::lease::{Lease, Settings};
 use mimosashift::order::pace::Pacer;
-use mimosashift::order::placement::{Candidate, Policy, Range, host, plan};
+use mimosashift::order::placement::{Candidate, Policy, RangeCopies, choose_endpoint, plan};
 use mimosashift::order::{FencingNumber, Target};
 use mimosashift::platform::{Check, Outcome, Refusal, Row, Transaction, Write};
 use mimosashift::resource::Name;
@@ -130,7 +130,7 @@
 fn loads_keep_the_stores_rate() {
     let mut pacer = Pacer::new(4, 100);
     let started = (0..100).filter(|second| {
-        let starts = pacer.start(1_000, secs(*second));
+        let starts = pacer.try_start(1_000, secs(*second));
         if starts {
             pacer.finish();
         }
@@ -138,11 +138,11 @@
     });
     assert_eq!(started.count(), 11, "10 s each, the last one just begun");
     let mut pacer = Pacer::new(2, 1_000_000);
-    assert_eq!((0..5).filter(|_| pacer.start(1, secs(0))).count(), 2);
+    assert_eq!((0..5).filter(|_| pacer.try_start(1, secs(0))).count(), 2);
 }
 
-const fn range(wanted: u16, live: u16, loading: u16) -> Range {
-    Range { wanted, live, loading }
+const fn range(wanted: u16, live: u16, loading: u16) -> RangeCopies {
+    RangeCopies { wanted, live, loading }
 }
 
 /// Names each policy and the ranges that it copies, in order.
@@ -173,7 +173,7 @@
     };
     let candidates =
         [candidate("a", "x", 2, 90), candidate("b", "y", 1, 20), candidate("c", "y", 1, 30)];
-    assert_eq!(host(&candidates, 10).map(|c| c.endpoint.as_str()), Some("c"));
-    assert_eq!(host(&candidates, 50).map(|c| c.endpoint.as_str()), Some("a"));
-    assert_eq!(host(&candidates, 100), None);
+    assert_eq!(choose_endpoint(&candidates, 10).map(|c| c.endpoint.as_str()), Some("c"));
+    assert_eq!(choose_endpoint(&candidates, 50).map(|c| c.endpoint.as_str()), Some("a"));
+    assert_eq!(choose_endpoint(&candidates, 100), None);
 }
