--- a/mimosashift/tests/common/lease_world.rs
+++ b/mimosashift/tests/common/lease_world.rs
@@ -12,7 +12,7 @@
 
 /// A mistake put into the protocol, to show that it is caught.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Mistake {
+pub enum Mutation {
     None,
     NoWaitForUncheckedEndpoint,
     NoMargin,
@@ -31,7 +31,7 @@
 /// The whole system; all clocks run alike.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
-    mistake: Mistake,
+    mutation: Mutation,
     now: Instant,
     faults_left: u8,
     writes_left: u8,
@@ -52,8 +52,8 @@
 const MAX_WAY: Duration = TICK;
 
 impl World {
-    pub fn new(mistake: Mistake, endpoint_checks: bool, faults_left: u8) -> Self {
-        let margin = if mistake == Mistake::NoMargin { Duration::ZERO } else { MAX_WAY };
+    pub fn new(mutation: Mutation, endpoint_checks: bool, faults_left: u8) -> Self {
+        let margin = if mutation == Mutation::NoMargin { Duration::ZERO } else { MAX_WAY };
         let settings = Settings { duration: Duration::from_millis(3), margin, drift_ppm: 0 };
         let group = Name::try_from("group").unwrap();
         let router = |name: &str| {
@@ -61,7 +61,7 @@
             Router { lease, writing: None, order: None }
         };
         Self {
-            mistake,
+            mutation,
             now: Instant::ZERO,
             faults_left,
             writes_left: WRITES,
@@ -145,7 +145,7 @@
 
     /// Notes the orders that could be sent in this state.
     fn with_orders(mut self) -> Self {
-        let assumed = self.endpoint_checks || self.mistake == Mistake::NoWaitForUncheckedEndpoint;
+        let assumed = self.endpoint_checks || self.mutation == Mutation::NoWaitForUncheckedEndpoint;
         for (index, router) in self.routers.iter_mut().enumerate() {
             if let Some(number) = router.lease.authorize(assumed, self.now) {
                 router.order = Some((number, self.now + MAX_WAY));
@@ -190,7 +190,7 @@
                 return Some("one number for two holders".to_owned());
             }
         }
-        let refuses = self.endpoint_checks && self.mistake != Mistake::EndpointForgetsNumber;
+        let refuses = self.endpoint_checks && self.mutation != Mutation::EndpointForgetsNumber;
         let both = self.routers.iter().all(|router| router.order.is_some());
         (both && !refuses).then(|| "an old order may arrive after a new one".to_owned())
     }
--- a/mimosashift/tests/model_check.rs
+++ b/mimosashift/tests/model_check.rs
@@ -18,7 +18,7 @@
     report
 }
 
-fn lease(mistake: lease_world::Mistake, checks: bool, faults: u8) -> explore::Report {
+fn lease(mistake: lease_world::Mutation, checks: bool, faults: u8) -> explore::Report {
     let report = explore(lease_world::World::new(mistake, checks, faults), MAX_STATES);
     eprintln!("lease {mistake:?}, endpoint checks {checks}, {faults} faults: {report:?}");
     report
@@ -65,7 +65,7 @@
     ($($case:ident: $mistake:ident, $checks:literal => $violation:literal;)*) => {$(
         #[test]
         fn $case() {
-            let report = lease(lease_world::Mistake::$mistake, $checks, 0);
+            let report = lease(lease_world::Mutation::$mistake, $checks, 0);
             let violation = report.violation.unwrap();
             assert!(violation.contains($violation), "{violation}");
         }
@@ -83,7 +83,7 @@
     ($($case:ident: $checks:literal, $faults:literal;)*) => {$(
         #[test]
         fn $case() {
-            let report = lease(lease_world::Mistake::None, $checks, $faults);
+            let report = lease(lease_world::Mutation::None, $checks, $faults);
             assert_eq!(report.violation, None);
             assert!(report.complete);
         }
