--- a/mimosashift/src/config/audit.rs
+++ b/mimosashift/src/config/audit.rs
@@ -1,4 +1,4 @@
-//! Reads the audit trail from the table's log.
+//! Reads the audit trail from the log rows of the table.
 
 use super::call::{Response, StateMachine, Step};
 use super::row;
@@ -6,21 +6,21 @@
 use crate::platform::Page;
 use crate::resource::{Kind, Name};
 
-/// Most pages of the log read for one response.
+/// Maximum number of log pages read for one query.
 const MAX_PAGES: usize = 16;
 
-/// Which changes are asked for.
+/// Selects the changes to return; an unset field matches every change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Filter {
     /// Only changes after this revision.
     pub after: u64,
-    /// Only changes of this kind of resource.
+    /// Only changes to resources of this kind.
     pub kind: Option<Kind>,
-    /// Only changes of resources of this name.
+    /// Only changes to resources with this name.
     pub name: Option<Name>,
     /// Only changes by this operator.
     pub operator: Option<String>,
-    /// Only this change.
+    /// Only the change with this identifier.
     pub id: Option<ChangeId>,
 }
 
@@ -29,21 +29,22 @@
 pub struct AuditPage {
     /// Matching changes, oldest first.
     pub records: Vec<Record>,
-    /// Where to ask on, `None` at the end of the log.
+    /// Value of [`Filter::after`] for the next page, `None` at the end of the
+    /// log.
     pub next: Option<u64>,
 }
 
-/// Reads matching changes, up to a limit.
+/// Reads the changes that match a filter, up to a limit.
 #[derive(Debug)]
 pub struct Audit {
     filter: Filter,
     limit: usize,
-    pages: usize,
+    pages_read: usize,
     result: AuditPage,
 }
 
 impl Filter {
-    /// Whether the change is asked for.
+    /// Whether the filter selects the change.
     pub fn matches(&self, record: &Record) -> bool {
         record.revision > self.after
             && self.kind.is_none_or(|kind| record.kind == kind)
@@ -54,13 +55,14 @@
 }
 
 impl Audit {
-    /// Reads up to `limit` changes that match.
+    /// Reads up to `limit` changes that match `filter`.
     pub fn new(filter: Filter, limit: usize) -> Self {
-        Self { filter, limit, pages: 0, result: AuditPage::default() }
+        Self { filter, limit, pages_read: 0, result: AuditPage::default() }
     }
 
-    /// Takes in a page; returns where the next one starts, if it is wanted.
-    fn take_in(&mut self, page: &Page) -> Result<Option<u64>, Error> {
+    /// Adds the matching records of a log page. Returns the revision after
+    /// which the next page starts, or `None` when no more pages are needed.
+    fn add_page(&mut self, page: &Page) -> Result<Option<u64>, Error> {
         let mut reached = None;
         for row in &page.rows {
             let record: Record = row::decode(row)?;
@@ -73,9 +75,9 @@
                 return Ok(None);
             }
         }
-        self.pages += 1;
+        self.pages_read += 1;
         let more = reached.filter(|_| page.more);
-        if self.pages == MAX_PAGES {
+        if self.pages_read == MAX_PAGES {
             self.result.next = more;
             return Ok(None);
         }
@@ -91,8 +93,8 @@
     }
 
     fn on_response(&mut self, response: Response) -> Step<Self::Output> {
-        let Response::Scan(outcome) = response else { unreachable!("this machine only scans") };
-        match row::read(outcome).and_then(|page| self.take_in(&page)) {
+        let Response::Scan(outcome) = response else { unreachable!("Audit sends only scans") };
+        match row::read(outcome).and_then(|page| self.add_page(&page)) {
             Ok(Some(reached)) => Step::Call(row::scan_log(reached)),
             Ok(None) => Step::Done(Ok(std::mem::take(&mut self.result))),
             Err(error) => Step::Done(Err(error)),
--- a/mimosashift/src/config/call.rs
+++ b/mimosashift/src/config/call.rs
@@ -1,11 +1,11 @@
-//! Calls of the table service as values.
+//! Calls to the table service as values, for state machines without I/O.
 //!
-//! A machine asks for one call at a time and is handed its answer, so that a
-//! test or a model check can run it against any order of events.
+//! A state machine requests one call at a time and receives its response, so a
+//! test or a model checker can run it against any order of events.
 
 use crate::platform::{Key, Outcome, Page, Row, Table, Transaction};
 
-/// A call that a machine asks for.
+/// A call requested by a state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Reads one row.
@@ -18,46 +18,46 @@
         prefix: String,
         /// Key after which the page starts.
         after: String,
-        /// Most rows of the page.
+        /// Maximum number of rows in the page.
         limit: usize,
     },
     /// Applies a transaction.
     Commit(Transaction),
 }
 
-/// The answer to a [`Call`] of the same name.
+/// The response to the [`Call`] variant of the same name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// Row read.
+    /// The row, `None` if it does not exist.
     Read(Outcome<Option<Row>>),
-    /// Page read.
+    /// The page of rows.
     Scan(Outcome<Page>),
-    /// Outcome of the transaction.
+    /// The outcome of the transaction, with the new table revision.
     Commit(Outcome<u64>),
 }
 
-/// What a machine wants next.
+/// The next step of a state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step<T> {
-    /// Make this call and hand its answer in.
+    /// Make this call and pass the response to [`StateMachine::on_response`].
     Call(Call),
-    /// The machine has ended with this result.
+    /// The state machine has finished with this result.
     Done(T),
 }
 
-/// A machine that ends after a bounded number of calls.
+/// A state machine that finishes after a bounded number of calls.
 pub trait StateMachine {
-    /// Its result.
+    /// The result.
     type Output;
 
-    /// The first call.
+    /// Returns the first step.
     fn start(&mut self) -> Step<Self::Output>;
 
-    /// What follows from the answer to the last call.
+    /// Returns the step that follows the response to the last call.
     fn on_response(&mut self, response: Response) -> Step<Self::Output>;
 }
 
-/// Makes one call.
+/// Makes one call to `table`.
 pub fn execute(table: &dyn Table, call: &Call) -> Response {
     match call {
         Call::Read(key) => Response::Read(table.read(key)),
@@ -68,7 +68,7 @@
     }
 }
 
-/// Runs a machine to its end against a table.
+/// Runs a state machine to completion against a table.
 pub fn run<M: StateMachine>(table: &dyn Table, mut machine: M) -> M::Output {
     let mut step = machine.start();
     loop {
--- a/mimosashift/src/config/catchup.rs
+++ b/mimosashift/src/config/catchup.rs
@@ -1,22 +1,22 @@
-//! Reads what a state lacks from the table's log.
+//! Brings a state up to date from the log rows of the table.
 
 use super::call::{Call, Response, StateMachine, Step};
 use super::row::{self, HeadRow};
 use super::{Error, Record, State};
 use crate::platform::Page;
 
-/// What the table holds beyond a state.
+/// The changes that the table holds on top of a given state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Progress {
-    /// The state at the table's head.
+    /// The state at the version in the row `head`.
     pub state: State,
-    /// The records between, in order.
+    /// The records from the given state up to `state`, in order.
     pub records: Vec<Record>,
-    /// The table's own revision of the row `head`.
+    /// The row `head`, with its table revision.
     pub(super) head: HeadRow,
 }
 
-/// Reads the row `head`, then the records that the state lacks.
+/// Reads the row `head`, then the records that follow the state.
 #[derive(Debug)]
 pub struct CatchUp {
     progress: Progress,
@@ -62,7 +62,8 @@
         Ok(self.next_page())
     }
 
-    /// The next page of the log, or `None` at the head.
+    /// The call that reads the next log page, or `None` when the state has
+    /// reached the row `head`.
     fn next_page(&self) -> Option<Call> {
         let reached = self.progress.state.version().revision;
         (reached < self.progress.head.version.revision).then(|| row::scan_log(reached))
@@ -82,7 +83,7 @@
                 .and_then(|row| row::decode_head(row.as_ref()))
                 .and_then(|head| self.on_head(head)),
             Response::Scan(outcome) => row::read(outcome).and_then(|page| self.on_page(page)),
-            Response::Commit(_) => unreachable!("this machine never commits"),
+            Response::Commit(_) => unreachable!("CatchUp sends no commits"),
         };
         match next {
             Ok(Some(call)) => Step::Call(call),
--- a/mimosashift/src/config/change.rs
+++ b/mimosashift/src/config/change.rs
@@ -7,28 +7,28 @@
 use super::Error;
 use super::call::{Call, Response, StateMachine, Step};
 use super::catchup::{CatchUp, Progress};
-use super::record::{Record, shortened};
+use super::record::{Record, with_truncated_digests};
 use super::row;
 use super::state::{State, Version};
 use crate::platform::{Check, Key, Outcome, Refusal, Row, Transaction, Write};
 use crate::resource::{Kind, Name, Resource, Spec};
 
-/// Most transactions sent for one change.
+/// Maximum number of transactions sent for one change.
 const MAX_ATTEMPTS: u32 = 8;
 
-/// Most bytes of a specification as JSON, so that a record with the one before
-/// and the one after fits a frame between routers.
+/// Maximum size of a specification as JSON. A record holds the specification
+/// before and after the change and must fit into one frame between routers.
 const MAX_SPEC_BYTES: usize = 64 * 1_024;
 
-/// Identifies a change over all tries; the client may choose it, so that it
-/// can repeat a change whose outcome it does not know.
+/// Identifies a change across all attempts. A client may choose it, so that it
+/// can safely retry a change whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChangeId(pub u128);
 
-/// What must hold for the resource before the change.
+/// Condition on the resource that must hold for the change to be applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Precondition {
-    /// Anything.
+    /// No condition, except that a deleted resource must exist.
     #[default]
     Any,
     /// The resource does not exist.
@@ -37,26 +37,27 @@
     Revision(u64),
 }
 
-/// A change that an operator asks for.
+/// A change requested by an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// Identifier, random unless the client chose one.
     pub id: ChangeId,
-    /// Who asks.
+    /// The operator that requests the change.
     pub operator: String,
-    /// Where the request comes from.
+    /// Where the request came from.
     pub origin: String,
-    /// Time of the request in milliseconds of Unix time, for the audit trail.
+    /// Time of the request as a Unix timestamp in milliseconds, for the audit
+    /// trail.
     pub at_unix_ms: u64,
     /// Kind of the resource.
     pub kind: Kind,
     /// Name of the resource.
     pub name: Name,
-    /// What it shall be; `None` deletes.
+    /// The new specification; `None` deletes the resource.
     pub spec: Option<Spec>,
-    /// What must hold before.
+    /// Condition that must hold before the change.
     pub precondition: Precondition,
-    /// Whether only to check, without a change.
+    /// Whether to validate the change without committing it.
     pub dry_run: bool,
 }
 
@@ -65,51 +66,51 @@
 pub struct Committed {
     /// Revision that the change made, or would make in a dry run.
     pub revision: u64,
-    /// What was read and committed beyond the state at the start, to install
-    /// and push. It ends before `revision` in a dry run and when an earlier
-    /// try had made the change.
+    /// The records read and committed on top of the initial state, to install
+    /// and to push to peers. It ends before `revision` in a dry run and when an
+    /// earlier attempt had already made the change.
     pub progress: Progress,
 }
 
-/// Commits one [`Change`] by conditional transactions.
+/// Commits one [`Change`] with conditional transactions.
 ///
-/// Each transaction checks the row `head`, so at most one change makes a
-/// revision, and that no row of the change's identifier exists, so a change
-/// takes effect at most once over all tries.
+/// Each transaction checks that the row `head` is unchanged, so at most one
+/// change creates a given revision, and that the row of the change identifier
+/// does not exist, so the change takes effect at most once over all attempts.
 #[derive(Debug)]
 pub struct Commit {
     change: Change,
     phase: Phase,
-    /// What was read so far; the next transaction builds on its state.
+    /// What has been read so far; the next transaction builds on its state.
     read: Progress,
     attempts: u32,
-    /// Table revision of the row `head` that the last transaction checks.
+    /// Table revision of the row `head` checked by the last transaction.
     base: u64,
-    /// Whether an earlier transaction may have taken effect or still may.
+    /// Whether an earlier transaction may have taken effect or may still do so.
     in_doubt: bool,
-    /// Lowest table revision of the row `head` that settles the last
-    /// transaction.
-    settled_at: u64,
-    /// The last change by someone else that was seen.
+    /// A read of the row `head` at this table revision or higher shows whether
+    /// the last transaction took effect.
+    min_head_revision: u64,
+    /// The last change by another request that was read.
     last_other_change: Option<Record>,
 }
 
 #[derive(Debug)]
 enum Phase {
-    /// Looks for an earlier try of the same change.
+    /// Reads the row of the change identifier, to find an earlier attempt.
     Lookup,
-    /// Reads the record of an earlier try.
-    Earlier(u64),
-    /// Reads the table's head and the records up to it.
+    /// Reads the record of an earlier attempt.
+    EarlierAttempt(u64),
+    /// Reads the row `head` and the records up to it.
     CatchUp(CatchUp),
-    /// Waits for the transaction that writes this record.
+    /// Waits for the response to the transaction that writes this record.
     Commit { transaction: Transaction, record: Record },
 }
 
-type Next = Result<Step<Committed>, Error>;
+type StepResult = Result<Step<Committed>, Error>;
 
 impl Commit {
-    /// Prepares a change on top of the installed state.
+    /// Prepares `change` on top of the installed state.
     pub fn new(change: Change, installed: State) -> Self {
         Self {
             change,
@@ -118,20 +119,20 @@
             attempts: 0,
             base: 0,
             in_doubt: false,
-            settled_at: 0,
+            min_head_revision: 0,
             last_other_change: None,
         }
     }
 
-    fn next(&mut self, response: Response) -> Next {
+    fn advance(&mut self, response: Response) -> StepResult {
         match (&mut self.phase, response) {
             (Phase::Lookup, Response::Read(outcome)) => {
                 let row = row::read(outcome)?;
                 self.on_lookup(row.as_ref())
             }
-            (Phase::Earlier(revision), Response::Read(outcome)) => {
+            (Phase::EarlierAttempt(revision), Response::Read(outcome)) => {
                 let revision = *revision;
-                self.on_earlier(revision, row::read(outcome)?.as_ref())
+                self.on_earlier_attempt(revision, row::read(outcome)?.as_ref())
             }
             (Phase::CatchUp(machine), response @ (Response::Read(_) | Response::Scan(_))) => {
                 match machine.on_response(response) {
@@ -140,19 +141,19 @@
                 }
             }
             (Phase::Commit { .. }, Response::Commit(outcome)) => self.on_commit(outcome),
-            (phase, response) => unreachable!("phase {phase:?} asked for no {response:?}"),
+            (phase, response) => unreachable!("phase {phase:?} does not expect {response:?}"),
         }
     }
 
-    fn on_lookup(&mut self, row: Option<&Row>) -> Next {
+    fn on_lookup(&mut self, row: Option<&Row>) -> StepResult {
         let Some(row) = row else { return Ok(self.catch_up()) };
         self.in_doubt = true;
         let revision = row::decode(row)?;
-        self.phase = Phase::Earlier(revision);
+        self.phase = Phase::EarlierAttempt(revision);
         Ok(Step::Call(Call::Read(row::log(revision))))
     }
 
-    fn on_earlier(&mut self, revision: u64, row: Option<&Row>) -> Next {
+    fn on_earlier_attempt(&mut self, revision: u64, row: Option<&Row>) -> StepResult {
         let Some(row) = row else { return Err(Error::missing_record(revision)) };
         let record: Record = row::decode(row)?;
         let same = record.kind == self.change.kind
@@ -167,15 +168,15 @@
 
     fn catch_up(&mut self) -> Step<Committed> {
         let mut machine = CatchUp::new(self.read.state.clone());
-        let Step::Call(call) = machine.start() else { unreachable!("it starts with a call") };
+        let Step::Call(call) = machine.start() else { unreachable!("CatchUp starts with a call") };
         self.phase = Phase::CatchUp(machine);
         Step::Call(call)
     }
 
-    fn on_caught_up(&mut self, progress: Progress) -> Next {
+    fn on_caught_up(&mut self, progress: Progress) -> StepResult {
         let table_revision = progress.head.table_revision.unwrap_or_default();
-        if table_revision < self.settled_at {
-            return Err(Error::StaleRead { seen: self.settled_at, read: table_revision });
+        if table_revision < self.min_head_revision {
+            return Err(Error::StaleRead { seen: self.min_head_revision, read: table_revision });
         }
         self.read.state = progress.state;
         self.read.records.extend(progress.records.iter().cloned());
@@ -183,7 +184,8 @@
             let revision = own.revision;
             return Ok(Step::Done(Committed { revision, progress: self.read.clone() }));
         }
-        // The head moved past the transaction in doubt without its record.
+        // The log contains no record of the in-doubt transaction, and the row
+        // `head` has moved on, so the transaction can no longer apply.
         self.in_doubt = false;
         self.last_other_change =
             progress.records.into_iter().next_back().or(self.last_other_change.take());
@@ -209,7 +211,7 @@
         Step::Call(Call::Commit(transaction.clone()))
     }
 
-    fn on_commit(&mut self, outcome: Outcome<u64>) -> Next {
+    fn on_commit(&mut self, outcome: Outcome<u64>) -> StepResult {
         match outcome {
             Outcome::Done(_) => {
                 let Phase::Commit { record, .. } = &self.phase else {
@@ -221,14 +223,16 @@
                 Ok(Step::Done(Committed { revision, progress: self.read.clone() }))
             }
             Outcome::Unknown if self.attempts < MAX_ATTEMPTS => {
-                // The same transaction again: its checks let it apply once.
+                // Resends the same transaction; its checks let it apply only
+                // once.
                 self.in_doubt = true;
                 Ok(self.send())
             }
             Outcome::Unknown => {
-                // Only a head that has moved on can settle it now.
+                // The transaction may still apply until the row `head` has
+                // changed.
                 self.in_doubt = true;
-                self.settled_at = self.base + 1;
+                self.min_head_revision = self.base + 1;
                 Ok(self.catch_up())
             }
             Outcome::NotDone(Refusal::Conflict(found)) => self.on_conflict(found),
@@ -236,18 +240,19 @@
         }
     }
 
-    fn on_conflict(&mut self, found: Option<Row>) -> Next {
+    fn on_conflict(&mut self, found: Option<Row>) -> StepResult {
         match found {
             Some(row) if row.key == row::change(self.change.id) => self.on_lookup(Some(&row)),
             Some(row) if row.key == row::head() => {
-                self.settled_at = row.revision;
+                self.min_head_revision = row.revision;
                 Ok(self.catch_up())
             }
             _ => Err(Error::Platform(Refusal::Conflict(found))),
         }
     }
 
-    /// Checks precondition, rules and references against the state.
+    /// Checks the precondition, the size limit and the references against the
+    /// state.
     fn check(&self) -> Result<(), Error> {
         let Change { kind, name, .. } = &self.change;
         let snapshot = self.read.state.snapshot();
@@ -275,7 +280,8 @@
 
     fn transaction(&self, head: Option<u64>) -> Result<(Transaction, Record), Error> {
         let Change { id, kind, name, spec, .. } = &self.change;
-        let before = self.read.state.snapshot().get(*kind, name).map(|r| shortened(&r.spec));
+        let before =
+            self.read.state.snapshot().get(*kind, name).map(|r| with_truncated_digests(&r.spec));
         let mut record = Record {
             revision: self.read.state.version().revision + 1,
             lineage: 0,
@@ -330,7 +336,7 @@
     }
 
     fn on_response(&mut self, response: Response) -> Step<Self::Output> {
-        match self.next(response) {
+        match self.advance(response) {
             Ok(Step::Call(call)) => Step::Call(call),
             Ok(Step::Done(committed)) => Step::Done(Ok(committed)),
             Err(_) if self.in_doubt => Step::Done(Err(Error::Unknown(self.change.id))),
--- a/mimosashift/src/config/load.rs
+++ b/mimosashift/src/config/load.rs
@@ -1,4 +1,4 @@
-//! Reads the whole configuration from the table.
+//! Loads the whole configuration from the table.
 
 use super::call::{Call, Response, StateMachine, Step};
 use super::row;
@@ -7,18 +7,18 @@
 use crate::platform::{Page, Row};
 use crate::resource::{Resource, Snapshot};
 
-/// Most tries when the rows read do not belong together.
-const MAX_TRIES: u32 = 4;
+/// Maximum number of attempts when the rows read are inconsistent.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Reads the row `head`, every resource, and the records of changes made
-/// while the resources were read.
+/// Reads the row `head`, all resources, and the records of changes made while
+/// the resources were read.
 ///
 /// Pages are not read in one transaction. The version in the row `head` shows
-/// whether the resources read belong together; if not, the load starts over.
+/// whether the resources read are consistent; if not, the load starts over.
 #[derive(Debug)]
 pub struct Load {
-    floor: u64,
-    tries: u32,
+    min_revision: u64,
+    attempts: u32,
     phase: Phase,
     resources: Vec<Resource>,
     snapshot: Snapshot,
@@ -28,39 +28,41 @@
 #[derive(Clone, Copy, Debug)]
 enum Phase {
     /// Waits for the row `head` before the resources are read.
-    First,
+    HeadBefore,
     /// Waits for a page of resources.
     Resources,
     /// Waits for the row `head` after the resources were read.
-    Second,
+    HeadAfter,
     /// Waits for a page of the log.
     Log,
 }
 
 impl Load {
-    /// Accepts no revision lower than `floor`.
-    pub fn new(floor: u64) -> Self {
+    /// Rejects a table whose revision is lower than `min_revision`.
+    pub fn new(min_revision: u64) -> Self {
         Self {
-            floor,
-            tries: 1,
-            phase: Phase::First,
+            min_revision,
+            attempts: 1,
+            phase: Phase::HeadBefore,
             resources: Vec::new(),
             snapshot: Snapshot::default(),
             target: Version::default(),
         }
     }
 
-    fn next(&mut self, response: Response) -> Result<Step<State>, Error> {
+    fn advance(&mut self, response: Response) -> Result<Step<State>, Error> {
         match (self.phase, response) {
-            (Phase::First, Response::Read(row)) => self.on_first_head(row::read(row)?.as_ref()),
+            (Phase::HeadBefore, Response::Read(row)) => {
+                self.on_head_before(row::read(row)?.as_ref())
+            }
             (Phase::Resources, Response::Scan(page)) => self.on_resources(&row::read(page)?),
-            (Phase::Second, Response::Read(row)) => self.on_second_head(row::read(row)?.as_ref()),
+            (Phase::HeadAfter, Response::Read(row)) => self.on_head_after(row::read(row)?.as_ref()),
             (Phase::Log, Response::Scan(page)) => self.on_log(&row::read(page)?),
-            (phase, response) => unreachable!("phase {phase:?} asked for no {response:?}"),
+            (phase, response) => unreachable!("phase {phase:?} does not expect {response:?}"),
         }
     }
 
-    fn on_first_head(&mut self, row: Option<&Row>) -> Result<Step<State>, Error> {
+    fn on_head_before(&mut self, row: Option<&Row>) -> Result<Step<State>, Error> {
         self.target = self.checked_head(row)?;
         self.resources.clear();
         self.phase = Phase::Resources;
@@ -76,11 +78,11 @@
         }
         let resources = std::mem::take(&mut self.resources);
         self.snapshot = Snapshot::new(self.target.revision, resources);
-        self.phase = Phase::Second;
+        self.phase = Phase::HeadAfter;
         Ok(Step::Call(Call::Read(row::head())))
     }
 
-    fn on_second_head(&mut self, row: Option<&Row>) -> Result<Step<State>, Error> {
+    fn on_head_after(&mut self, row: Option<&Row>) -> Result<Step<State>, Error> {
         self.target = self.checked_head(row)?;
         self.phase = Phase::Log;
         self.continue_log()
@@ -102,7 +104,7 @@
         self.continue_log()
     }
 
-    /// Reads the next page of the log, or ends at the target.
+    /// Reads the next log page, or finishes at the target revision.
     fn continue_log(&mut self) -> Result<Step<State>, Error> {
         let reached = self.snapshot.revision();
         if reached < self.target.revision {
@@ -115,18 +117,18 @@
     }
 
     fn start_over(&mut self, error: Error) -> Result<Step<State>, Error> {
-        if self.tries == MAX_TRIES {
+        if self.attempts == MAX_ATTEMPTS {
             return Err(error);
         }
-        self.tries += 1;
-        self.phase = Phase::First;
+        self.attempts += 1;
+        self.phase = Phase::HeadBefore;
         Ok(Step::Call(Call::Read(row::head())))
     }
 
     fn checked_head(&self, row: Option<&Row>) -> Result<Version, Error> {
         let version = row::decode_head(row)?.version;
-        if version.revision < self.floor {
-            return Err(Error::Stale { installed: self.floor, table: version.revision });
+        if version.revision < self.min_revision {
+            return Err(Error::Stale { installed: self.min_revision, table: version.revision });
         }
         Ok(version)
     }
@@ -136,12 +138,12 @@
     type Output = Result<State, Error>;
 
     fn start(&mut self) -> Step<Self::Output> {
-        self.phase = Phase::First;
+        self.phase = Phase::HeadBefore;
         Step::Call(Call::Read(row::head()))
     }
 
     fn on_response(&mut self, response: Response) -> Step<Self::Output> {
-        match self.next(response) {
+        match self.advance(response) {
             Ok(Step::Call(call)) => Step::Call(call),
             Ok(Step::Done(state)) => Step::Done(Ok(state)),
             Err(error) => Step::Done(Err(error)),
--- a/mimosashift/src/config/mod.rs
+++ b/mimosashift/src/config/mod.rs
@@ -1,8 +1,9 @@
-//! Configuration: committing changes, loading and spreading them.
+//! Configuration: commits changes, loads them and replicates them to every
+//! router.
 //!
-//! A change is one transaction on the platform's table; every router installs
-//! the revisions in rising order and never goes back. The reasons are in
-//! `docs/design/configuration.md`.
+//! A change is one transaction on the table of the platform. Every router
+//! installs revisions in increasing order and never rolls back; the rationale
+//! is in `docs/design/configuration.md`.
 
 use quick_error::quick_error;
 
@@ -30,7 +31,7 @@
 pub use store::Store;
 
 quick_error! {
-    /// Why a change did not happen or a table could not be used.
+    /// Why a change was not made or the table could not be used.
     #[derive(Clone, Debug, PartialEq, Eq)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
@@ -38,76 +39,77 @@
         Platform(refusal: Refusal) {
             display("table `config` refused the call, nothing changed: {:?}", refusal)
         }
-        /// A row cannot be read.
+        /// A row is missing or cannot be decoded.
         InvalidRow { key: String, reason: String } {
             display("row {:?} of table `config`: {}", key, reason)
         }
-        /// The table answers from before what is installed: it lags or was
-        /// restored.
+        /// The table is at a lower revision than the one installed: the read
+        /// was stale or the table was restored from a backup.
         Stale { installed: u64, table: u64 } {
             display(
                 "table `config` answers revision {}, revision {} is installed: it lags or was restored",
                 table, installed
             )
         }
-        /// A read answers from before a conflict that the table reported.
+        /// A read returned a row older than one that the table had reported in
+        /// a conflict.
         StaleRead { seen: u64, read: u64 } {
             display("row `head` reads at table revision {}, {} was seen before", read, seen)
         }
-        /// A record does not follow what is installed.
+        /// A record is not the successor of the installed revision.
         Gap { installed: u64, next: u64 } {
             display("record {} does not follow revision {}", next, installed)
         }
-        /// The table holds another history than the one installed: it was
-        /// restored and changed since.
+        /// The table has a different history than the installed one: it was
+        /// restored from a backup and changed afterwards.
         Diverged(revision: u64) {
             display("revision {} has another history than the one installed", revision)
         }
-        /// Resources read do not add up to the revision.
+        /// The resources read are not the complete set of the revision.
         Incomplete(revision: u64) {
             display("the resources read do not add up to revision {}", revision)
         }
-        /// The resource is not as the operator's precondition says.
+        /// The resource does not meet the precondition of the change.
         Precondition { kind: Kind, name: Name, found: Option<u64>, changed_by: Option<String> } {
             display(
                 "{} {:?} {}{}",
                 kind, name.as_str(), found_text(*found), changed_by_text(changed_by.as_deref())
             )
         }
-        /// The change breaks a rule on resources.
+        /// The change violates a validation rule for resources.
         Resource(error: resource::Error) {
             from()
             display("{}", error)
         }
-        /// The specification is too large to be spread.
+        /// The specification is too large to be replicated.
         TooLarge { limit: usize } {
             display("the specification has more than {} bytes", limit)
         }
-        /// Other operators' changes came first in every try.
+        /// Every attempt lost to a concurrent change by another operator.
         Contended { attempts: u32, last_operator: String, revision: u64 } {
             display(
                 "lost to other changes in {} tries, last to {:?} at revision {}",
                 attempts, last_operator, revision
             )
         }
-        /// The change's identifier already stands for a different change.
+        /// The change identifier already belongs to a different change.
         ChangeIdReused(id: ChangeId) {
             display("change id {} already belongs to another change", id)
         }
-        /// The change may or may not have taken effect; its identifier finds
-        /// out later.
+        /// The change may or may not have taken effect; its identifier can be
+        /// used to find out later.
         Unknown(id: ChangeId) {
             display("outcome of change {} is unknown", id)
         }
     }
 }
 
-/// States at which revision a resource was found, if any.
+/// Describes whether a resource exists and at which revision.
 fn found_text(found: Option<u64>) -> String {
     found.map_or("does not exist".to_owned(), |revision| format!("stands at revision {revision}"))
 }
 
-/// Names the operator of the last change, if this router read its record.
+/// Names the operator of the last change, if its record was read.
 fn changed_by_text(by: Option<&str>) -> String {
     by.map_or("; the audit trail says by whom".to_owned(), |by| format!(", changed by {by:?}"))
 }
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Whether the change certainly did not take effect.
+    /// Whether the change is known not to have taken effect.
     pub const fn not_run(&self) -> bool {
         !matches!(self, Self::Unknown(_))
     }
--- a/mimosashift/src/config/phase.rs
+++ b/mimosashift/src/config/phase.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a router's configuration: starting, then serving.
+//! The life cycle of the configuration of a router: starting, then serving.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,52 +8,52 @@
 use crate::resource::{Name, Snapshot};
 use crate::time::Instant;
 
-/// Time for which a starting router listens for peers.
-const LISTEN: Duration = Duration::from_millis(2_500);
+/// Time for which a starting router waits for heartbeats of its peers.
+const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(2_500);
 
-/// The configuration of a router in one phase of its life.
+/// The configuration of a router in one phase of its life cycle.
 #[derive(Debug)]
 pub struct Router<Phase> {
     replicator: Box<Replicator>,
     phase: Phase,
 }
 
-/// May not serve yet.
+/// Phase in which the router must not serve yet.
 #[derive(Debug)]
 pub struct Starting {
     since: Instant,
 }
 
-/// Serves what is installed.
+/// Phase in which the router serves the installed configuration.
 #[derive(Debug)]
 pub struct Serving(());
 
 /// Why a router does not serve yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotServingReason {
-    /// Other routers may still be heard.
+    /// The time to discover other routers has not elapsed.
     DiscoveringPeers,
-    /// The table has not been asked yet.
+    /// No poll of the table has finished yet.
     QueryingTable,
-    /// A peer holds a higher revision, which is being fetched.
+    /// A peer has a higher revision, which is being fetched.
     Behind {
-        /// Revision installed.
+        /// The installed revision.
         installed: u64,
-        /// Revision that a peer holds.
+        /// The highest revision of a peer.
         wanted: u64,
     },
-    /// Neither the table nor a peer has answered with a configuration.
+    /// Neither the table nor a peer has returned a configuration.
     NoSource,
 }
 
 impl Router<Starting> {
-    /// Starts with nothing installed.
+    /// Starts without an installed configuration.
     pub fn new(node: Name, now: Instant) -> Self {
         Self { replicator: Box::new(Replicator::new(node)), phase: Starting { since: now } }
     }
 
-    /// Serves once the highest revision that the reachable peers and the
-    /// table hold is installed; until then it stays as it is.
+    /// Moves to the serving phase once the highest revision known to the
+    /// reachable peers and the table is installed; otherwise returns `self`.
     pub fn serve(self, now: Instant, peers: &[Peer]) -> Result<Router<Serving>, Self> {
         match self.reason(now, peers) {
             Some(_) => Err(self),
@@ -61,11 +61,11 @@
         }
     }
 
-    /// Why it does not serve yet, `None` when it may.
+    /// Why the router must not serve yet, `None` when it may.
     pub fn reason(&self, now: Instant, peers: &[Peer]) -> Option<NotServingReason> {
         let installed = self.replicator.store().version().revision;
         let wanted = peers.iter().map(|peer| peer.version.revision).max().unwrap_or_default();
-        if now.since(self.phase.since) < LISTEN {
+        if now.since(self.phase.since) < PEER_DISCOVERY_TIME {
             return Some(NotServingReason::DiscoveringPeers);
         }
         if installed < wanted {
@@ -74,25 +74,25 @@
         if self.replicator.polls() == 0 {
             return Some(NotServingReason::QueryingTable);
         }
-        let nothing = installed == 0 && self.replicator.polled().is_none();
-        nothing.then_some(NotServingReason::NoSource)
+        let no_source = installed == 0 && self.replicator.polled().is_none();
+        no_source.then_some(NotServingReason::NoSource)
     }
 }
 
 impl Router<Serving> {
-    /// The snapshot to serve by.
+    /// The snapshot to serve from.
     pub const fn snapshot(&self) -> &Snapshot {
         self.replicator.store().state().snapshot()
     }
 }
 
 impl<Phase> Router<Phase> {
-    /// The exchange with the table and other routers.
+    /// The replicator of the configuration.
     pub const fn replicator(&self) -> &Replicator {
         &self.replicator
     }
 
-    /// The exchange with the table and other routers, to drive it.
+    /// The replicator of the configuration, mutably.
     pub const fn replicator_mut(&mut self) -> &mut Replicator {
         &mut self.replicator
     }
--- a/mimosashift/src/config/poll.rs
+++ b/mimosashift/src/config/poll.rs
@@ -1,21 +1,23 @@
-//! Reads from the table what a router lacks.
+//! Reads the changes from the table that a router has not installed.
 
 use super::call::{Response, StateMachine, Step};
 use super::catchup::{CatchUp, Progress};
 use super::load::Load;
 use super::{Error, State};
 
-/// Loads everything into an empty state and catches up with any other.
+/// Loads the whole configuration into an empty state; brings any other state
+/// up to date from the log.
 #[derive(Debug)]
 pub enum Poll {
-    /// Nothing is installed; the log may be far longer than the resources.
+    /// Nothing is installed. The log may be much longer than the resources, so
+    /// it is not replayed.
     Load(Load),
-    /// Something is installed.
+    /// A configuration is installed.
     CatchUp(CatchUp),
 }
 
 impl Poll {
-    /// Starts from what is installed.
+    /// Starts from the installed state.
     pub fn new(installed: State) -> Self {
         if installed.version().revision == 0 {
             return Self::Load(Load::new(0));
@@ -29,20 +31,20 @@
 
     fn start(&mut self) -> Step<Self::Output> {
         match self {
-            Self::Load(load) => loaded(load.start()),
+            Self::Load(load) => map_load_step(load.start()),
             Self::CatchUp(machine) => machine.start(),
         }
     }
 
     fn on_response(&mut self, response: Response) -> Step<Self::Output> {
         match self {
-            Self::Load(load) => loaded(load.on_response(response)),
+            Self::Load(load) => map_load_step(load.on_response(response)),
             Self::CatchUp(machine) => machine.on_response(response),
         }
     }
 }
 
-fn loaded(step: Step<Result<State, Error>>) -> Step<Result<Progress, Error>> {
+fn map_load_step(step: Step<Result<State, Error>>) -> Step<Result<Progress, Error>> {
     match step {
         Step::Call(call) => Step::Call(call),
         Step::Done(result) => Step::Done(result.map(Progress::from)),
--- a/mimosashift/src/config/record.rs
+++ b/mimosashift/src/config/record.rs
@@ -1,4 +1,4 @@
-//! One accepted change, as stored in the log and as shown to operators.
+//! An accepted change, as stored in the log and as shown to operators.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -6,66 +6,66 @@
 use super::change::ChangeId;
 use crate::resource::{Kind, Name, Snapshot, Spec};
 
-/// Characters of a token digest that are shown.
+/// Number of leading characters of a token digest that are shown.
 const SHOWN_DIGEST_CHARS: usize = 8;
 
-/// Field of a team that holds token digests.
+/// JSON field of a team that holds its token digests.
 const DIGESTS_FIELD: &str = "token_digests";
 
-/// One accepted change: a delta for routers and the base of the audit trail.
+/// An accepted change: a delta for routers and an entry of the audit trail.
 ///
-/// A record exists exactly when the change took effect; both are written by
-/// the same transaction.
+/// A record exists if and only if the change took effect, since both are
+/// written in the same transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Configuration revision that the change made.
+    /// Configuration revision created by the change.
     pub revision: u64,
     /// Lineage of the configuration after the change, see
     /// [`Version`](super::Version).
     pub lineage: u64,
     /// Identifier of the change.
     pub id: ChangeId,
-    /// Who asked for it.
+    /// The operator that requested the change.
     pub operator: String,
     /// Where the request came from.
     pub origin: String,
-    /// When it was committed, in milliseconds of Unix time.
+    /// Time of the request as a Unix timestamp in milliseconds.
     pub at_unix_ms: u64,
     /// Kind of the resource.
     pub kind: Kind,
     /// Name of the resource.
     pub name: Name,
-    /// Specification before, with token digests shortened.
+    /// Specification before the change, with token digests truncated.
     pub before: Option<Value>,
-    /// Specification after; `None` when the resource was deleted.
+    /// Specification after the change; `None` if the resource was deleted.
     pub after: Option<Spec>,
 }
 
-/// A line of the audit trail, safe to show.
+/// An entry of the audit trail, without full token digests.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct AuditEntry<'a> {
-    /// Configuration revision that the change made.
+    /// Configuration revision created by the change.
     pub revision: u64,
     /// Identifier of the change.
     pub id: ChangeId,
-    /// Who asked for it.
+    /// The operator that requested the change.
     pub operator: &'a str,
     /// Where the request came from.
     pub origin: &'a str,
-    /// When it was committed, in milliseconds of Unix time.
+    /// Time of the request as a Unix timestamp in milliseconds.
     pub at_unix_ms: u64,
     /// Kind of the resource.
     pub kind: Kind,
     /// Name of the resource.
     pub name: &'a Name,
-    /// Specification before, with token digests shortened.
+    /// Specification before the change, with token digests truncated.
     pub before: Option<&'a Value>,
-    /// Specification after, with token digests shortened.
+    /// Specification after the change, with token digests truncated.
     pub after: Option<Value>,
 }
 
 impl Record {
-    /// The snapshot that follows `snapshot` by this change.
+    /// Returns `snapshot` with this change applied.
     pub fn apply(&self, snapshot: &Snapshot) -> Snapshot {
         snapshot.with(self.revision, self.kind, &self.name, self.after.clone())
     }
@@ -82,13 +82,13 @@
             kind: record.kind,
             name: &record.name,
             before: record.before.as_ref(),
-            after: record.after.as_ref().map(shortened),
+            after: record.after.as_ref().map(with_truncated_digests),
         }
     }
 }
 
-/// The specification as JSON, with token digests shortened.
-pub(super) fn shortened(spec: &Spec) -> Value {
+/// The specification as JSON, with token digests truncated.
+pub(super) fn with_truncated_digests(spec: &Spec) -> Value {
     let mut value = spec.to_json();
     let digests = value.get_mut(DIGESTS_FIELD).and_then(Value::as_array_mut);
     for digest in digests.into_iter().flatten() {
--- a/mimosashift/src/config/replication.rs
+++ b/mimosashift/src/config/replication.rs
@@ -1,7 +1,7 @@
-//! Spreads accepted changes to every router.
+//! Replicates accepted changes to every router.
 //!
-//! One router of each failure domain polls the table; records go on to its
-//! peers, and whoever hears of a higher revision pulls it.
+//! One router of each failure domain polls the table and pushes new records to
+//! its peers; a router that learns of a higher revision pulls it.
 
 use std::time::Duration;
 
@@ -10,91 +10,94 @@
 use sha2::{Digest, Sha256};
 
 use super::catchup::Progress;
-use super::transfer::{Chunk, Received, Reply, Request, Sink, Source};
+use super::transfer::{Chunk, Received, Reply, ReplySource, Request, SnapshotReceiver};
 use super::{Error, Record, State, Store, Version};
 use crate::resource::Name;
 use crate::time::Instant;
 
-/// Time between two reads of the table's head by the polling router.
+/// Time between two reads of the row `head` by the polling router.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Additional intervals of silence before the next router in line polls.
-const INTERVALS_PER_RANK: u32 = 4;
+/// Additional poll intervals without a poll in the failure domain, per rank,
+/// after which a router takes over polling.
+const TAKEOVER_INTERVALS_PER_RANK: u32 = 4;
 
-/// Most jitter of a poll, as a share of its interval.
+/// Divisor of the poll interval that gives the maximum jitter of a poll.
 const JITTER_DIVISOR: u32 = 4;
 
-/// Time for which a starting router waits for its peers before it polls.
+/// Time that a starting router waits to hear from its peers before it polls.
 const FIRST_POLL_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Time after which an unanswered or failed pull is repeated.
+/// Time after which an unanswered or failed pull is retried.
 const PULL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Most records pushed at once; whoever lacks more pulls.
+/// Maximum number of records pushed at once; a peer that is missing more pulls
+/// them.
 const MAX_PUSH_RECORDS: usize = 64;
 
-/// Another live router as membership sees it.
+/// Another live router, as reported by membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the router.
     pub node: Name,
-    /// Whether it is in the same failure domain.
+    /// Whether it is in the failure domain of this router.
     pub same_domain: bool,
-    /// What it has installed.
+    /// The version that it has installed.
     pub version: Version,
-    /// When it last read the table's head.
+    /// When it last read the row `head`.
     pub polled: Option<Instant>,
 }
 
-/// What the shell has to do.
+/// An action for the caller, which does the I/O.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Run a [`Poll`](super::poll::Poll) from this state and hand its result
-    /// to [`Replicator::on_poll`].
+    /// Run a [`Poll`](super::poll::Poll) from this state and pass its result to
+    /// [`Replicator::on_poll`].
     Poll(State),
     /// Send a request to a peer.
     Pull(Name, Request),
     /// Send records to a peer.
     Push(Name, Vec<Record>),
-    /// Tell the operators.
+    /// Raise an alarm for the operators.
     Alarm(Error),
 }
 
-/// The configuration of one router and its exchange with others.
+/// The configuration of one router and its replication with the table and
+/// other routers.
 #[derive(Debug)]
 pub struct Replicator {
     node: Name,
     store: Store,
-    source: Source,
+    source: ReplySource,
     pull: Option<Pull>,
-    /// When any router of the domain last read the table's head.
+    /// When any router of the failure domain last read the row `head`.
     domain_polled: Option<Instant>,
-    /// When this router did.
+    /// When this router last read the row `head`.
     polled: Option<Instant>,
     /// Earliest time of the next poll, `None` before the first tick.
     next_poll: Option<Instant>,
     polling: bool,
-    /// Polls that have ended, whether or not the table answered.
+    /// Number of finished polls, including failed ones.
     polls: u64,
-    /// The last alarm, so that it is raised once.
+    /// The last alarm, so that the same one is not raised again.
     alarm: Option<Error>,
 }
 
-/// A pull in progress or waiting to be repeated.
+/// A pull in progress, or a failed one waiting to be retried.
 #[derive(Debug)]
 struct Pull {
     peer: Name,
     deadline: Instant,
-    sink: Sink,
+    receiver: SnapshotReceiver,
 }
 
 impl Replicator {
-    /// Starts with nothing installed.
+    /// Starts without an installed configuration.
     pub fn new(node: Name) -> Self {
         Self {
             node,
             store: Store::default(),
-            source: Source::default(),
+            source: ReplySource::default(),
             pull: None,
             domain_polled: None,
             polled: None,
@@ -105,31 +108,31 @@
         }
     }
 
-    /// What is installed, and its recent records.
+    /// The installed configuration and its recent records.
     pub const fn store(&self) -> &Store {
         &self.store
     }
 
-    /// When this router last read the table's head.
+    /// When this router last read the row `head`.
     pub const fn polled(&self) -> Option<Instant> {
         self.polled
     }
 
-    /// Polls that have ended, whether or not the table answered.
+    /// Number of finished polls, including failed ones.
     pub const fn polls(&self) -> u64 {
         self.polls
     }
 
-    /// Answers a peer's request.
+    /// Answers the request of a peer.
     pub fn answer(&self, request: &Request) -> Reply {
         self.source.answer(&self.store, request)
     }
 
-    /// Decides whether to poll or pull now.
+    /// Starts a pull or a poll if one is due.
     pub fn tick(&mut self, now: Instant, peers: &[Peer], rng: &mut Pcg64Mcg) -> Vec<Action> {
         let mut actions = Vec::new();
         for peer in peers {
-            actions.extend(self.hear(peer));
+            actions.extend(self.observe_peer(peer));
         }
         if self.pull.as_ref().is_some_and(|pull| pull.deadline <= now) {
             self.pull = None;
@@ -139,7 +142,7 @@
         actions
     }
 
-    /// Takes in the result of a poll.
+    /// Processes the result of a poll.
     pub fn on_poll(
         &mut self,
         now: Instant,
@@ -154,26 +157,29 @@
                 self.domain_polled = Some(now);
                 self.install_progress(&progress, peers)
             }
-            // Told by the health of the platform, not of the configuration.
+            // The platform client reports its own failures; they raise no
+            // configuration alarm.
             Err(Error::Platform(_)) => Vec::new(),
-            Err(error) => self.raise(error).into_iter().collect(),
+            Err(error) => self.raise_alarm(error).into_iter().collect(),
         }
     }
 
-    /// Takes in what this router has committed or read itself.
+    /// Installs what this router has committed or read from the table, and
+    /// pushes the records to its peers.
     pub fn install_progress(&mut self, progress: &Progress, peers: &[Peer]) -> Vec<Action> {
         let before = self.store.version();
         let records = self.store.install_records(&progress.records);
         let result = records.and_then(|_| self.store.install(progress.state.clone()));
-        let mut actions: Vec<_> = result.err().and_then(|e| self.raise(e)).into_iter().collect();
+        let mut actions: Vec<_> =
+            result.err().and_then(|e| self.raise_alarm(e)).into_iter().collect();
         if self.store.version() != before {
-            self.source.keep(self.store.state().clone());
+            self.source.retain(self.store.state().clone());
             actions.extend(push(&progress.records, peers));
         }
         actions
     }
 
-    /// Takes in a reply or pushed records of a peer.
+    /// Processes a reply or pushed records from a peer.
     pub fn on_reply(&mut self, now: Instant, peer: &Name, reply: Reply) -> Vec<Action> {
         match reply {
             Reply::Records(records) => self.on_records(peer, &records).into_iter().collect(),
@@ -181,13 +187,13 @@
         }
     }
 
-    fn hear(&mut self, peer: &Peer) -> Option<Action> {
+    fn observe_peer(&mut self, peer: &Peer) -> Option<Action> {
         if peer.same_domain {
             self.domain_polled = self.domain_polled.max(peer.polled);
         }
         let own = self.store.version();
-        let split = peer.version.revision == own.revision && peer.version != own;
-        if split { self.raise(Error::Diverged(own.revision)) } else { None }
+        let diverged = peer.version.revision == own.revision && peer.version != own;
+        if diverged { self.raise_alarm(Error::Diverged(own.revision)) } else { None }
     }
 
     fn pull_if_behind(
@@ -202,27 +208,28 @@
                 |p: &&Peer| p.version.revision > have.revision && p.same_domain == same_domain;
             peers.iter().filter(ahead).collect()
         };
-        let mut choice = ahead(true);
-        if choice.is_empty() {
-            choice = ahead(false);
+        let mut candidates = ahead(true);
+        if candidates.is_empty() {
+            candidates = ahead(false);
         }
-        if self.pull.is_some() || choice.is_empty() {
+        if self.pull.is_some() || candidates.is_empty() {
             return None;
         }
-        let peer = choice[rng.random_range(0..choice.len())].node.clone();
+        let peer = candidates[rng.random_range(0..candidates.len())].node.clone();
         let deadline = now + PULL_TIMEOUT;
-        self.pull = Some(Pull { peer: peer.clone(), deadline, sink: Sink::default() });
+        self.pull =
+            Some(Pull { peer: peer.clone(), deadline, receiver: SnapshotReceiver::default() });
         Some(Action::Pull(peer, Request { have, part: None }))
     }
 
     fn poll_if_due(&mut self, now: Instant, peers: &[Peer], rng: &mut Pcg64Mcg) -> Option<Action> {
         let next = *self.next_poll.get_or_insert(now + FIRST_POLL_DELAY);
-        // A snapshot from a peer spares the table a full load.
+        // A snapshot pulled from a peer avoids a full load from the table.
         let loading = self.store.version().revision == 0 && self.pull.is_some();
         if self.polling || loading || now < next {
             return None;
         }
-        let wait = POLL_INTERVAL * (1 + INTERVALS_PER_RANK * self.rank(peers));
+        let wait = POLL_INTERVAL * (1 + TAKEOVER_INTERVALS_PER_RANK * self.rank(peers));
         let fresh = self.domain_polled.is_some_and(|polled| now.since(polled) < wait);
         if fresh && self.polls > 0 {
             return None;
@@ -234,7 +241,7 @@
         Some(Action::Poll(self.store.state().clone()))
     }
 
-    /// Place of this router among those of its domain, by rendezvous hash.
+    /// Rank of this router within its failure domain, by rendezvous hash.
     fn rank(&self, peers: &[Peer]) -> u32 {
         let own = rendezvous(&self.node);
         let before = peers.iter().filter(|peer| peer.same_domain && rendezvous(&peer.node) > own);
@@ -244,25 +251,25 @@
     fn on_records(&mut self, peer: &Name, records: &[Record]) -> Option<Action> {
         let result = self.store.install_records(records);
         if self.store.state().version().revision > 0 {
-            self.source.keep(self.store.state().clone());
+            self.source.retain(self.store.state().clone());
         }
         match result {
             Ok(_) => {
                 self.end_pull(peer);
                 None
             }
-            // Pulled from what is installed once this pull has timed out.
+            // The missing records are pulled again after this pull times out.
             Err(Error::Gap { .. }) => None,
-            Err(error) => self.raise(error),
+            Err(error) => self.raise_alarm(error),
         }
     }
 
     fn on_chunk(&mut self, now: Instant, peer: &Name, chunk: Chunk) -> Option<Action> {
         let pull = self.pull.as_mut().filter(|pull| pull.peer == *peer)?;
-        let result = match pull.sink.take_in(chunk) {
-            Ok(Received::Partial(part)) => {
+        let result = match pull.receiver.add_chunk(chunk) {
+            Ok(Received::Partial(cursor)) => {
                 pull.deadline = now + PULL_TIMEOUT;
-                let request = Request { have: self.store.version(), part: Some(part) };
+                let request = Request { have: self.store.version(), part: Some(cursor) };
                 return Some(Action::Pull(peer.clone(), request));
             }
             Ok(Received::Complete(state)) => self.store.install(state),
@@ -271,12 +278,12 @@
         match result {
             Ok(installed) => {
                 if installed {
-                    self.source.keep(self.store.state().clone());
+                    self.source.retain(self.store.state().clone());
                 }
                 self.end_pull(peer);
                 None
             }
-            Err(error) => self.raise(error),
+            Err(error) => self.raise_alarm(error),
         }
     }
 
@@ -286,7 +293,7 @@
         }
     }
 
-    fn raise(&mut self, error: Error) -> Option<Action> {
+    fn raise_alarm(&mut self, error: Error) -> Option<Action> {
         if self.alarm.as_ref() == Some(&error) {
             return None;
         }
@@ -299,11 +306,12 @@
     if records.is_empty() || records.len() > MAX_PUSH_RECORDS {
         return Vec::new();
     }
-    let near = peers.iter().filter(|peer| peer.same_domain);
-    near.map(|peer| Action::Push(peer.node.clone(), records.to_vec())).collect()
+    let targets = peers.iter().filter(|peer| peer.same_domain);
+    targets.map(|peer| Action::Push(peer.node.clone(), records.to_vec())).collect()
 }
 
-/// Weight of a router for polling; the highest of a domain polls.
+/// Rendezvous hash of a router; the one with the highest in a failure domain
+/// polls.
 fn rendezvous(node: &Name) -> [u8; 32] {
     Sha256::new().chain_update("poll/").chain_update(node.as_str()).finalize().into()
 }
--- a/mimosashift/src/config/row.rs
+++ b/mimosashift/src/config/row.rs
@@ -1,8 +1,8 @@
-//! Keys and values of the rows of table `config`.
+//! Keys and values of the rows in table `config`.
 //!
-//! `head` holds the configuration revision, `resource/KIND/NAME` a resource,
-//! `log/REVISION` the record of a change and `change/ID` the revision that a
-//! change made.
+//! `head` holds the configuration version, `resource/KIND/NAME` a resource,
+//! `log/REVISION` the record of a change and `change/ID` the revision created
+//! by a change.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -14,24 +14,24 @@
 use crate::platform::{Key, Outcome, Refusal, Row};
 use crate::resource::{Kind, Name};
 
-/// The table of the configuration.
+/// Name of the table that stores the configuration.
 pub(super) const TABLE: &str = "config";
 
-/// Prefix of the rows of resources.
+/// Key prefix of the rows that hold resources.
 pub(super) const RESOURCE_PREFIX: &str = "resource/";
 
-/// Prefix of the rows of records.
+/// Key prefix of the rows that hold records.
 pub(super) const LOG_PREFIX: &str = "log/";
 
-/// Most rows of one page.
+/// Maximum number of rows in one page.
 pub(super) const PAGE_ROWS: usize = 500;
 
-/// The row `head` as read.
+/// The decoded row `head`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct HeadRow {
-    /// The version after the last accepted change.
+    /// The configuration version after the last accepted change.
     pub(super) version: Version,
-    /// The table's own revision of the row, `None` when it does not exist.
+    /// The table revision of the row, `None` if it does not exist.
     pub(super) table_revision: Option<u64>,
 }
 
@@ -51,7 +51,7 @@
     key(format!("change/{id}"))
 }
 
-/// The call that reads resources after `key`.
+/// The call that reads a page of resources after `key`.
 pub(super) fn scan_resources(key: &str) -> Call {
     Call::Scan {
         table: TABLE.to_owned(),
@@ -61,7 +61,7 @@
     }
 }
 
-/// The call that reads records after `revision`.
+/// The call that reads a page of records after `revision`.
 pub(super) fn scan_log(revision: u64) -> Call {
     Call::Scan {
         table: TABLE.to_owned(),
@@ -71,7 +71,7 @@
     }
 }
 
-/// Decodes the row `head`; an absent row stands for revision 0.
+/// Decodes the row `head`; a missing row means revision 0.
 pub(super) fn decode_head(row: Option<&Row>) -> Result<HeadRow, Error> {
     let Some(row) = row else { return Ok(HeadRow::default()) };
     Ok(HeadRow { version: decode(row)?, table_revision: Some(row.revision) })
@@ -88,7 +88,8 @@
     serde_json::to_string(value).expect("rows have only string keys")
 }
 
-/// The result of a read, which has no unknown outcome.
+/// The result of a read. A read without a known outcome has no effect, so it
+/// counts as refused because the platform was unavailable.
 pub(super) fn read<T>(outcome: Outcome<T>) -> Result<T, Error> {
     match outcome {
         Outcome::Done(value) => Ok(value),
--- a/mimosashift/src/config/state.rs
+++ b/mimosashift/src/config/state.rs
@@ -1,4 +1,4 @@
-//! A snapshot together with the history that led to it.
+//! A snapshot with the version that identifies it and its history.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -6,22 +6,23 @@
 use super::{Error, Record};
 use crate::resource::{Kind, Name, Snapshot};
 
-/// Identifies a configuration: its revision and what led to it.
+/// Identifies a configuration by its revision and its history.
 ///
-/// Two routers with equal revisions but different versions installed
-/// different histories, which only a restored table can bring about.
+/// Two routers with equal revisions but different versions have installed
+/// different histories, which happens only after the table was restored from a
+/// backup.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
     /// Number of accepted changes.
     pub revision: u64,
-    /// Hash over the identifiers of all changes, in order.
+    /// Hash of the identifiers of all changes, in order.
     pub lineage: u64,
-    /// Sum of a hash of each resource's kind, name and revision. It shows
-    /// whether a set of rows is the whole set.
+    /// Wrapping sum over all resources of a hash of kind, name and revision. It
+    /// shows whether a set of rows is complete.
     pub checksum: u64,
 }
 
-/// The configuration at one version; a clone shares structure.
+/// The configuration at one version; clones share structure.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
     version: Version,
@@ -29,9 +30,9 @@
 }
 
 impl State {
-    /// Puts a snapshot together with the version it should have.
+    /// Combines a snapshot with the version that it should have.
     ///
-    /// Fails when the resources are not the whole set of that version.
+    /// Fails if the resources are not the complete set of that version.
     pub fn new(version: Version, snapshot: Snapshot) -> Result<Self, Error> {
         let checksum = snapshot.iter().fold(0_u64, |sum, r| {
             sum.wrapping_add(resource_hash(r.spec.kind(), &r.name, r.revision))
@@ -42,7 +43,7 @@
         Ok(Self { version, snapshot })
     }
 
-    /// Identifies this state.
+    /// The version that identifies this state.
     pub const fn version(&self) -> Version {
         self.version
     }
@@ -52,9 +53,9 @@
         &self.snapshot
     }
 
-    /// The state that follows by one change.
+    /// Returns this state with one change applied.
     ///
-    /// Fails when the record is not the successor of this state.
+    /// Fails if the record is not the successor of this state.
     pub fn apply(&self, record: &Record) -> Result<Self, Error> {
         let version = self.version_after(record);
         if record.revision != version.revision {
@@ -66,7 +67,7 @@
         Ok(Self { version, snapshot: record.apply(&self.snapshot) })
     }
 
-    /// The version that follows when `record` is the next change.
+    /// The version after `record` is applied as the next change.
     pub(super) fn version_after(&self, record: &Record) -> Version {
         let revision = self.version.revision + 1;
         let (kind, name) = (record.kind, &record.name);
--- a/mimosashift/src/config/store.rs
+++ b/mimosashift/src/config/store.rs
@@ -1,22 +1,22 @@
-//! What a router has installed, and the recent records for watches.
+//! The configuration installed on a router, and recent records for watches.
 
 use std::collections::VecDeque;
 
 use super::{Error, Record, State, Version};
 
-/// Most records kept for watches and for peers that are behind.
+/// Maximum number of records kept for watches and for peers that are behind.
 const MAX_LOG_RECORDS: usize = 1_024;
 
-/// The installed configuration; it only ever moves to a higher revision.
+/// The installed configuration; its revision only increases.
 #[derive(Debug, Default)]
 pub struct Store {
     state: State,
-    /// Records up to the installed revision, without a gap.
+    /// Consecutive records up to the installed revision.
     log: VecDeque<Record>,
 }
 
-/// Answer to a watch from a revision that is no longer in the log: list
-/// again, then watch from `current`.
+/// A watch asked for a revision outside the log: the client must list the
+/// resources again and watch from `current`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gone {
     /// The installed revision.
@@ -24,17 +24,17 @@
 }
 
 impl Store {
-    /// What is installed.
+    /// The installed state.
     pub const fn state(&self) -> &State {
         &self.state
     }
 
-    /// The version that is installed.
+    /// The installed version.
     pub const fn version(&self) -> Version {
         self.state.version()
     }
 
-    /// Records after `revision`, for a watch or a peer.
+    /// The records after `revision`, for a watch or a peer.
     pub fn watch(&self, revision: u64) -> Result<impl Iterator<Item = &Record>, Gone> {
         let current = self.version().revision;
         let missing = current.checked_sub(revision).and_then(|n| usize::try_from(n).ok());
@@ -42,16 +42,16 @@
         skip.map(|skip| self.log.iter().skip(skip)).ok_or(Gone { current })
     }
 
-    /// Installs those records that follow what is installed and returns how
-    /// many did.
+    /// Installs the records that follow the installed revision and returns how
+    /// many were installed.
     ///
-    /// Fails at a gap or at another history; what was installed before the
-    /// failure stays.
+    /// Fails at a gap or if the history differs; records installed before the
+    /// failure remain installed.
     pub fn install_records(&mut self, records: &[Record]) -> Result<usize, Error> {
         let mut installed = 0;
         for record in records {
             if record.revision <= self.version().revision {
-                self.check_known(record)?;
+                self.check_installed(record)?;
                 continue;
             }
             self.state = self.state.apply(record)?;
@@ -64,10 +64,10 @@
         Ok(installed)
     }
 
-    /// Installs a whole state if its revision is higher; otherwise leaves
-    /// what is installed and returns `false`.
+    /// Installs a complete state if its revision is higher; otherwise changes
+    /// nothing and returns `false`.
     ///
-    /// Fails when the revision is installed with another history.
+    /// Fails if the same revision is installed with a different history.
     pub fn install(&mut self, state: State) -> Result<bool, Error> {
         let (old, new) = (self.version(), state.version());
         if new.revision == old.revision && new != old {
@@ -81,7 +81,7 @@
         Ok(true)
     }
 
-    fn check_known(&self, record: &Record) -> Result<(), Error> {
+    fn check_installed(&self, record: &Record) -> Result<(), Error> {
         let known = self.log.iter().rev().find(|known| known.revision == record.revision);
         if known.is_some_and(|known| known.lineage != record.lineage) {
             return Err(Error::Diverged(record.revision));
--- a/mimosashift/src/config/transfer.rs
+++ b/mimosashift/src/config/transfer.rs
@@ -1,4 +1,4 @@
-//! Configuration passed between two routers.
+//! Transfer of the configuration between two routers.
 
 use std::collections::VecDeque;
 
@@ -7,29 +7,29 @@
 use super::{Error, Record, State, Store, Version};
 use crate::resource::{Kind, Name, Resource, Snapshot, Spec};
 
-/// Most bytes of records or resources in one reply, by estimate of their
-/// JSON; one more entry may exceed it.
-const REPLY_BYTES: usize = 64 * 1_024;
+/// Maximum estimated JSON size of the records or resources in one reply; the
+/// last entry may exceed it.
+const MAX_REPLY_BYTES: usize = 64 * 1_024;
 
-/// Bytes of a record or resource beside its specification, as an estimate.
-const ENTRY_BYTES: usize = 256;
+/// Estimated JSON size of a record or resource without its specification.
+const ENTRY_OVERHEAD_BYTES: usize = 256;
 
-/// Recent states kept for transfers in progress.
-const KEPT_STATES: usize = 16;
+/// Number of recent states retained for snapshot transfers in progress.
+const RETAINED_STATES: usize = 16;
 
 /// A request for configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// What the asking router has installed.
+    /// The version that the requesting router has installed.
     pub have: Version,
-    /// The snapshot in transfer and the last resource received of it.
+    /// Position in the snapshot being transferred, `None` at the start.
     pub part: Option<SnapshotCursor>,
 }
 
-/// How far the transfer of a snapshot has come.
+/// Position in the transfer of a snapshot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotCursor {
-    /// Version of the snapshot.
+    /// Version of the snapshot being transferred.
     pub version: Version,
     /// Kind of the last resource received.
     pub kind: Kind,
@@ -37,7 +37,7 @@
     pub name: Name,
 }
 
-/// The answer to a [`Request`], or records pushed.
+/// The answer to a [`Request`], or pushed records.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// Records in order.
@@ -53,66 +53,67 @@
     pub version: Version,
     /// Resources in order of kind and name.
     pub resources: Vec<Resource>,
-    /// Whether more follow.
+    /// Whether more chunks follow.
     pub more: bool,
 }
 
-/// Answers requests.
+/// Answers requests for configuration.
 #[derive(Debug, Default)]
-pub(super) struct Source {
-    /// States installed of late, for transfers that began with them.
+pub(super) struct ReplySource {
+    /// Recently installed states, for transfers that started with them.
     recent: VecDeque<State>,
 }
 
-/// Puts the chunks of one snapshot together.
+/// Assembles the chunks of one snapshot.
 #[derive(Debug, Default)]
-pub(super) struct Sink {
+pub(super) struct SnapshotReceiver {
     version: Version,
     resources: Vec<Resource>,
 }
 
-impl Source {
-    /// Keeps a state that has just been installed.
-    pub(super) fn keep(&mut self, state: State) {
+impl ReplySource {
+    /// Retains a state that has just been installed.
+    pub(super) fn retain(&mut self, state: State) {
         self.recent.push_back(state);
-        if self.recent.len() > KEPT_STATES {
+        if self.recent.len() > RETAINED_STATES {
             self.recent.pop_front();
         }
     }
 
-    /// Answers with records where the log reaches back far enough, otherwise
-    /// with a part of a snapshot.
+    /// Answers with records if the log reaches back far enough, otherwise with
+    /// a chunk of a snapshot.
     pub(super) fn answer(&self, store: &Store, request: &Request) -> Reply {
         if request.part.is_none()
             && let Ok(records) = store.watch(request.have.revision)
         {
-            return Reply::Records(bounded(records, record_bytes).0);
+            return Reply::Records(take_until_full(records, record_bytes).0);
         }
         Reply::Chunk(self.chunk(store, request.part.as_ref()))
     }
 
-    fn chunk(&self, store: &Store, part: Option<&SnapshotCursor>) -> Chunk {
-        let kept = part.and_then(|part| {
-            let state = self.recent.iter().find(|state| state.version() == part.version)?;
-            Some((state, part))
+    fn chunk(&self, store: &Store, cursor: Option<&SnapshotCursor>) -> Chunk {
+        let retained = cursor.and_then(|cursor| {
+            let state = self.recent.iter().find(|state| state.version() == cursor.version)?;
+            Some((state, cursor))
         });
-        // A snapshot no longer kept is sent from its start at the new version.
-        let state = kept.map_or(store.state(), |(state, _)| state);
+        // If the snapshot is no longer retained, the transfer restarts with the
+        // current version.
+        let state = retained.map_or(store.state(), |(state, _)| state);
         let sent = |resource: &&Resource| {
-            kept.is_some_and(|(_, part)| {
-                (resource.spec.kind(), &resource.name) <= (part.kind, &part.name)
+            retained.is_some_and(|(_, cursor)| {
+                (resource.spec.kind(), &resource.name) <= (cursor.kind, &cursor.name)
             })
         };
         let rest = state.snapshot().iter().skip_while(sent);
-        let (resources, more) = bounded(rest, |resource| spec_bytes(&resource.spec));
+        let (resources, more) = take_until_full(rest, |resource| spec_bytes(&resource.spec));
         Chunk { version: state.version(), resources, more }
     }
 }
 
-impl Sink {
-    /// Takes in a chunk; returns the part to ask for next, or the state when
-    /// the snapshot is whole.
-    pub(super) fn take_in(&mut self, chunk: Chunk) -> Result<Received, Error> {
+impl SnapshotReceiver {
+    /// Adds a chunk. Returns the position from which to request the next chunk,
+    /// or the state once the snapshot is complete.
+    pub(super) fn add_chunk(&mut self, chunk: Chunk) -> Result<Received, Error> {
         if self.version != chunk.version {
             self.resources.clear();
             self.version = chunk.version;
@@ -128,26 +129,27 @@
     }
 }
 
-/// What a chunk led to.
+/// Progress of a snapshot transfer after a chunk.
 pub(super) enum Received {
-    /// More is to be asked for.
+    /// More chunks must be requested from this position.
     Partial(SnapshotCursor),
-    /// The snapshot is whole and adds up.
+    /// The snapshot is complete and matches its version.
     Complete(State),
 }
 
-/// Entries up to the bound of a reply, and whether more follow.
-fn bounded<'a, T: Clone + 'a>(
+/// Collects entries up to the size limit of a reply; the flag says whether more
+/// entries follow.
+fn take_until_full<'a, T: Clone + 'a>(
     entries: impl Iterator<Item = &'a T>,
     size: impl Fn(&T) -> usize,
 ) -> (Vec<T>, bool) {
     let mut taken = Vec::new();
     let mut bytes = 0;
     for entry in entries {
-        if bytes >= REPLY_BYTES {
+        if bytes >= MAX_REPLY_BYTES {
             return (taken, true);
         }
-        bytes += ENTRY_BYTES + size(entry);
+        bytes += ENTRY_OVERHEAD_BYTES + size(entry);
         taken.push(entry.clone());
     }
     (taken, false)
