--- a/mimosashift/src/order/lease.rs
+++ b/mimosashift/src/order/lease.rs
@@ -1,7 +1,8 @@
-//! The lease on ordering one group of endpoints.
+//! The lease that permits sending orders to one group of endpoints.
 //!
-//! A holder counts its lease from before it wrote the row; every other router
-//! counts from when it first saw that write. No two clocks are compared.
+//! A holder measures its lease from before it wrote the row; every other router
+//! measures from when it first observed that write. Clocks of different routers
+//! are never compared.
 
 use std::time::Duration;
 
@@ -15,64 +16,65 @@
 /// Table that holds the leases.
 pub const TABLE: &str = "lease";
 
-/// Durations of a lease.
+/// Timing of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// Time from the start of the write to the end of the lease.
     pub duration: Duration,
-    /// Time before the end in which nothing is sent, for a pause of the
-    /// process between the check and the send, and for the way.
+    /// Time before the end of the lease in which nothing is sent. It covers a
+    /// pause of the process between the check and the send, and the network
+    /// delay.
     pub margin: Duration,
-    /// Largest difference in rate between two clocks, in parts per million.
+    /// Maximum difference in rate between two clocks, in parts per million.
     pub drift_ppm: u32,
 }
 
-/// The value of a lease's row.
+/// The value stored in the row of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// The router that holds the lease.
     pub holder: Name,
-    /// Drawn at random each time that the router starts.
+    /// Random number drawn at each start of the router.
     pub incarnation: u64,
     /// The fencing number.
     pub number: FencingNumber,
 }
 
-/// One router's side of one lease.
+/// The view that one router has of one lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     settings: Settings,
     key: Key,
     holder: Name,
     incarnation: u64,
-    seen: Option<Seen>,
+    observed: Option<Observed>,
     pending: Option<Pending>,
     held: Option<Held>,
 }
 
-/// The newest write of the row that was seen.
+/// The newest write of the row that has been observed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Seen {
+struct Observed {
     revision: u64,
     record: Record,
     at: Instant,
 }
 
-/// A write without a certain outcome.
+/// A write that has no known outcome yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Pending {
-    over: Option<u64>,
+    base_revision: Option<u64>,
     number: FencingNumber,
-    begun: Instant,
+    started_at: Instant,
     unfenced_from: Instant,
-    uncertain: bool,
+    outcome_unknown: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Held {
     revision: u64,
     number: FencingNumber,
-    begun: Instant,
+    started_at: Instant,
     unfenced_from: Instant,
 }
 
@@ -87,28 +89,29 @@
         self.duration * self.drift_ppm / 1_000_000
     }
 
-    /// Time after which a lease that was seen has ended for certain.
-    fn wait(&self) -> Duration {
+    /// Time after the first observation of a write when its lease has certainly
+    /// expired.
+    fn expiry(&self) -> Duration {
         self.duration + self.drift()
     }
 
-    /// Time after the start of a write when its holder renews the lease: early
-    /// enough for two more tries.
-    fn renewal(&self) -> Duration {
-        self.usable() / 3
+    /// Time after the start of a write when the holder renews the lease, early
+    /// enough for two more attempts.
+    fn renew_after(&self) -> Duration {
+        self.send_window() / 3
     }
 
-    /// Time after the start of a write in which its holder may send.
-    fn usable(&self) -> Duration {
+    /// Time after the start of a write during which the holder may send.
+    fn send_window(&self) -> Duration {
         self.duration.saturating_sub(self.margin + self.drift())
     }
 }
 
 impl Lease {
-    /// A lease on `group` that is not held.
+    /// A lease on `group` that this router does not hold.
     pub fn new(settings: Settings, group: &Name, holder: Name, incarnation: u64) -> Self {
         let key = Key { table: TABLE.to_owned(), key: group.to_string() };
-        Self { settings, key, holder, incarnation, seen: None, pending: None, held: None }
+        Self { settings, key, holder, incarnation, observed: None, pending: None, held: None }
     }
 
     /// The row to read before [`write`](Self::write).
@@ -116,45 +119,46 @@
         &self.key
     }
 
-    /// The fencing number, if an order may be sent right now to an endpoint
-    /// that does or does not check it.
+    /// The fencing number, if an order may be sent now; `endpoint_checks` says
+    /// whether the endpoint checks fencing numbers.
     ///
-    /// Call it directly before each send.
+    /// Must be called directly before each send.
     pub fn authorize(&self, endpoint_checks: bool, now: Instant) -> Option<FencingNumber> {
         let held = self.held.as_ref()?;
-        let in_time = now < held.begun + self.settings.usable();
-        let unopposed = endpoint_checks || now >= held.unfenced_from;
-        (in_time && unopposed).then_some(held.number)
+        let in_time = now < held.started_at + self.settings.send_window();
+        let exclusive = endpoint_checks || now >= held.unfenced_from;
+        (in_time && exclusive).then_some(held.number)
     }
 
-    /// The router that held the lease when its row was last seen.
+    /// The router that held the lease when its row was last observed.
     pub fn holder(&self) -> Option<&Name> {
-        self.seen.as_ref().map(|seen| &seen.record.holder)
+        self.observed.as_ref().map(|observed| &observed.record.holder)
     }
 
-    /// Whether the holder has not renewed the lease when it should have: it is
-    /// dead, cut off or no longer interested.
+    /// Whether the holder has not renewed the lease in time: it is dead,
+    /// partitioned from the table or no longer needs the lease.
     pub fn is_overdue(&self, now: Instant) -> bool {
-        let due = self.settings.renewal() + self.settings.margin;
-        self.seen.as_ref().is_some_and(|seen| now >= seen.at + due)
+        let overdue_after = self.settings.renew_after() + self.settings.margin;
+        self.observed.as_ref().is_some_and(|observed| now >= observed.at + overdue_after)
     }
 
-    /// Takes in the row as read; an older one than seen before is ignored.
+    /// Processes the row as read; a row older than the one observed is ignored.
     pub fn observe(&mut self, row: Option<&Row>, now: Instant) {
         let Some(row) = row else {
             return;
         };
-        let newer = self.seen.as_ref().is_none_or(|seen| seen.revision < row.revision);
+        let newer = self.observed.as_ref().is_none_or(|observed| observed.revision < row.revision);
         let Ok(record) = serde_json::from_str::<Record>(&row.value) else {
             return;
         };
         if newer {
-            self.seen = Some(Seen { revision: row.revision, record, at: now });
+            self.observed = Some(Observed { revision: row.revision, record, at: now });
         }
     }
 
-    /// The write that renews the lease, repeats an uncertain write, or takes
-    /// the lease over if it has ended or its holder is `suspected` dead.
+    /// The write that renews the lease, repeats a write with an unknown outcome,
+    /// or takes the lease over if it has expired or its holder is `suspected`
+    /// to be dead.
     pub fn write(&mut self, suspected: bool, now: Instant) -> Option<Transaction> {
         if self.pending.is_none() {
             self.pending = Some(self.next_write(suspected, now)?);
@@ -162,76 +166,78 @@
         self.pending.as_ref().map(|pending| self.transaction(pending))
     }
 
-    /// Takes in the outcome of the write.
+    /// Processes the outcome of the write.
     pub fn on_write_result(&mut self, outcome: &Outcome<u64>, now: Instant) {
         let Some(pending) = self.pending.take() else {
             return;
         };
         match outcome {
-            Outcome::Done(revision) => self.hold(pending, *revision),
-            Outcome::NotDone(Refusal::Conflict(row)) => self.conflict(pending, row.as_ref(), now),
-            Outcome::NotDone(_) if !pending.uncertain => {}
+            Outcome::Done(revision) => self.acquire(pending, *revision),
+            Outcome::NotDone(Refusal::Conflict(row)) => {
+                self.on_conflict(pending, row.as_ref(), now)
+            }
+            Outcome::NotDone(_) if !pending.outcome_unknown => {}
             Outcome::NotDone(_) | Outcome::Unknown => {
-                self.pending = Some(Pending { uncertain: true, ..pending });
+                self.pending = Some(Pending { outcome_unknown: true, ..pending });
             }
         }
     }
 
     fn next_write(&self, suspected: bool, now: Instant) -> Option<Pending> {
         if let Some(held) = &self.held
-            && now < held.begun + self.settings.duration
+            && now < held.started_at + self.settings.duration
         {
-            let due = now >= held.begun + self.settings.renewal();
-            return due.then_some(Pending {
-                over: Some(held.revision),
+            let renewal_due = now >= held.started_at + self.settings.renew_after();
+            return renewal_due.then_some(Pending {
+                base_revision: Some(held.revision),
                 number: held.number,
-                begun: now,
+                started_at: now,
                 unfenced_from: held.unfenced_from,
-                uncertain: false,
+                outcome_unknown: false,
             });
         }
-        let Some(seen) = &self.seen else {
+        let Some(observed) = &self.observed else {
             let number = FencingNumber(1);
             let unfenced_from = now;
             return Some(Pending {
-                over: None,
+                base_revision: None,
                 number,
-                begun: now,
+                started_at: now,
                 unfenced_from,
-                uncertain: false,
+                outcome_unknown: false,
             });
         };
-        let ended_at = seen.at + self.settings.wait();
-        (suspected || now >= ended_at).then_some(Pending {
-            over: Some(seen.revision),
-            number: FencingNumber(seen.record.number.0 + 1),
-            begun: now,
-            unfenced_from: ended_at,
-            uncertain: false,
+        let expires_at = observed.at + self.settings.expiry();
+        (suspected || now >= expires_at).then_some(Pending {
+            base_revision: Some(observed.revision),
+            number: FencingNumber(observed.record.number.0 + 1),
+            started_at: now,
+            unfenced_from: expires_at,
+            outcome_unknown: false,
         })
     }
 
-    fn conflict(&mut self, pending: Pending, row: Option<&Row>, now: Instant) {
-        let own = |record: &Record| {
+    fn on_conflict(&mut self, pending: Pending, row: Option<&Row>, now: Instant) {
+        let is_own_write = |record: &Record| {
             record.holder == self.holder
                 && record.incarnation == self.incarnation
                 && record.number == pending.number
         };
         if let Some(row) = row
-            && pending.uncertain
-            && serde_json::from_str(&row.value).is_ok_and(|record| own(&record))
+            && pending.outcome_unknown
+            && serde_json::from_str(&row.value).is_ok_and(|record| is_own_write(&record))
         {
-            return self.hold(pending, row.revision);
+            return self.acquire(pending, row.revision);
         }
         self.held = None;
         self.observe(row, now);
     }
 
-    fn hold(&mut self, pending: Pending, revision: u64) {
-        let Pending { number, begun, unfenced_from, .. } = pending;
+    fn acquire(&mut self, pending: Pending, revision: u64) {
+        let Pending { number, started_at, unfenced_from, .. } = pending;
         let record = self.record(number);
-        self.seen = Some(Seen { revision, record, at: begun });
-        self.held = Some(Held { revision, number, begun, unfenced_from });
+        self.observed = Some(Observed { revision, record, at: started_at });
+        self.held = Some(Held { revision, number, started_at, unfenced_from });
     }
 
     fn record(&self, number: FencingNumber) -> Record {
@@ -239,7 +245,7 @@
     }
 
     fn transaction(&self, pending: &Pending) -> Transaction {
-        let check = match pending.over {
+        let check = match pending.base_revision {
             None => Check::Absent(self.key.clone()),
             Some(revision) => Check::Revision(self.key.clone(), revision),
         };
--- a/mimosashift/src/order/mod.rs
+++ b/mimosashift/src/order/mod.rs
@@ -1,6 +1,7 @@
-//! Orders to endpoints: who may give them, which loads to order, and when.
+//! Orders to endpoints: which router may send them, which layers to load, and
+//! when.
 //!
-//! Described in `docs/design/orders.md`.
+//! The design is described in `docs/design/orders.md`.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,29 +12,29 @@
 pub mod pace;
 pub mod placement;
 
-/// Grows with every change of the lease holder; an endpoint that checks it
-/// refuses an order whose number is lower than one it has seen.
+/// Increases with every change of the lease holder. An endpoint that checks it
+/// refuses orders with a lower number than the highest it has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingNumber(pub u64);
 
-/// State that an endpoint is told to reach; reaching it twice changes nothing.
+/// State that an endpoint is ordered to reach; orders are idempotent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Target {
-    /// Hold these layers of this model and version.
+    /// Load these layers of this model version.
     Load(ModelLayers),
-    /// Do not hold them.
+    /// Unload these layers.
     Unload(ModelLayers),
-    /// Hold this adapter.
+    /// Load this adapter.
     Adapter(Name),
     /// Serve in this role.
     Role(Name),
 }
 
-/// An order as it is sent.
+/// An order as sent to an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
-    /// Number of the lease under which it is given.
+    /// Fencing number of the lease under which it is sent.
     pub number: FencingNumber,
     /// The state to reach.
     pub target: Target,
--- a/mimosashift/src/order/pace.rs
+++ b/mimosashift/src/order/pace.rs
@@ -1,31 +1,31 @@
-//! Keeps weight loads within the weight store's rate.
+//! Limits weight loads to the read rate of the weight store.
 
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// Limits on the loads that are ordered at the same time.
+/// Limits the number of concurrent loads and their total read rate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Pacer {
     max_loads: u32,
     bytes_per_second: u64,
     loads: u32,
-    /// When the store has read all that was ordered.
+    /// When the weight store will have read everything ordered so far.
     busy_until: Instant,
 }
 
 impl Pacer {
-    /// Orders are given this long before the store is free for them.
-    const AHEAD: Duration = Duration::from_secs(1);
+    /// How long before the weight store becomes idle the next load may start.
+    const LEAD_TIME: Duration = Duration::from_secs(1);
 
-    /// A pacer without loads.
+    /// A pacer without running loads.
     pub const fn new(max_loads: u32, bytes_per_second: u64) -> Self {
         Self { max_loads, bytes_per_second, loads: 0, busy_until: Instant::ZERO }
     }
 
-    /// Admits a load of `bytes`, or returns `false` without a change.
+    /// Admits a load of `bytes`, or returns `false` if it must wait.
     pub fn try_start(&mut self, bytes: u64, now: Instant) -> bool {
-        if self.loads >= self.max_loads || self.busy_until > now + Self::AHEAD {
+        if self.loads >= self.max_loads || self.busy_until > now + Self::LEAD_TIME {
             return false;
         }
         let micros = bytes.saturating_mul(1_000_000) / self.bytes_per_second.max(1);
@@ -34,7 +34,7 @@
         true
     }
 
-    /// Reports that a load ended or was given up.
+    /// Reports that a load has finished or was abandoned.
     pub const fn finish(&mut self) {
         self.loads = self.loads.saturating_sub(1);
     }
--- a/mimosashift/src/order/placement.rs
+++ b/mimosashift/src/order/placement.rs
@@ -1,4 +1,4 @@
-//! Which layer ranges to copy, and on which endpoint.
+//! Chooses which layer ranges to copy, and to which endpoint.
 //!
 //! The policies are compared in `docs/design/orders.md`.
 
@@ -9,70 +9,72 @@
 /// When a lost copy is replaced on another endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Never: the copy comes back with its endpoint.
+    /// Never: the copy returns with its endpoint.
     Wait,
-    /// At every loss.
+    /// After every loss.
     EveryLoss,
-    /// When fewer live copies are left than this share of those wanted, in
-    /// percent; the generation threshold of Adam and Tewari, "Regeneration
+    /// When the live copies fall below this percentage of the copies wanted;
+    /// the generation threshold of Adam and Tewari, "Regeneration
     /// with Virtual Copies for Replicated Databases".
     Below(u8),
 }
 
-/// Copies of one layer range.
+/// Number of copies of one layer range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RangeCopies {
     /// Copies wanted.
     pub wanted: u16,
-    /// Copies that serve.
+    /// Copies that are serving.
     pub live: u16,
     /// Copies being loaded.
     pub loading: u16,
 }
 
-/// An endpoint that could take one more range.
+/// An endpoint that could hold one more copy of a range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The endpoint.
     pub endpoint: Name,
     /// Its failure domain.
     pub domain: Name,
-    /// Live copies of the range in that failure domain.
+    /// Live copies of the range in this failure domain.
     pub domain_copies: u16,
-    /// Accelerator memory that is free.
+    /// Free accelerator memory.
     pub free_bytes: u64,
 }
 
 impl Policy {
-    /// Copies below which another one is made.
+    /// Number of copies below which another one is made.
     pub fn threshold(self, wanted: u16) -> u16 {
         match self {
             Self::Wait => 0,
             Self::EveryLoss => wanted,
             Self::Below(percent) => {
                 let share = u32::from(wanted) * u32::from(percent.min(100));
-                u16::try_from(share.div_ceil(100)).expect("at most the copies wanted")
+                u16::try_from(share.div_ceil(100)).expect("the share is at most `wanted`")
             }
         }
     }
 }
 
 impl RangeCopies {
-    /// Copies to order under `policy`.
+    /// Number of copies to order under `policy`.
     pub fn missing(self, policy: Policy) -> u16 {
         policy.threshold(self.wanted).saturating_sub(self.live.saturating_add(self.loading))
     }
 }
 
 impl Default for Policy {
-    /// Close to every loss for few copies, and rarely a copy for many.
+    /// Replaces nearly every loss when few copies are wanted, and few losses
+    /// when many are.
     fn default() -> Self {
         Self::Below(98)
     }
 }
 
-/// The ranges to copy next, those with the fewest live copies first; a range
-/// appears once for each copy, and copies of one range follow their count.
+/// The indices of the ranges to copy next, those with the fewest live and
+/// loading copies first. An index appears once per copy, and each copy chosen
+/// counts as loading for the next choice.
 pub fn plan(policy: Policy, ranges: &[RangeCopies], max_loads: usize) -> SmallVec<[usize; 8]> {
     let mut ranges = SmallVec::<[RangeCopies; 16]>::from_slice(ranges);
     let mut chosen = SmallVec::new();
@@ -89,7 +91,7 @@
     chosen
 }
 
-/// The endpoint that takes a copy of `bytes`: in the failure domain with the
+/// The endpoint to hold a copy of `bytes`: the one whose failure domain has the
 /// fewest copies, then the one with the most free memory.
 pub fn choose_endpoint(candidates: &[Candidate], bytes: u64) -> Option<&Candidate> {
     let fits = candidates.iter().filter(|candidate| candidate.free_bytes >= bytes);
--- a/mimosashift/src/resource/check.rs
+++ b/mimosashift/src/resource/check.rs
@@ -1,23 +1,23 @@
-//! Rules on the values of one specification.
+//! Validation of the values in a specification.
 
 use super::{Engine, Error, Role, Spec, Team};
 
 /// Length of a SHA-256 digest in hexadecimal.
 const DIGEST_CHARS: usize = 64;
 
-/// Most layers of a model.
+/// Maximum number of layers of a model.
 const MAX_LAYERS: u16 = 1_024;
 
-/// Longest model name that callers use, in bytes.
-const MAX_MODEL_BYTES: usize = 128;
+/// Maximum length of the model name used by callers, in bytes.
+const MAX_MODEL_NAME_BYTES: usize = 128;
 
-/// Checks the values of one specification, without its references.
-pub(super) fn values(spec: &Spec) -> Result<(), Error> {
+/// Checks the values of a specification, but not its references.
+pub(super) fn check_values(spec: &Spec) -> Result<(), Error> {
     match spec {
         Spec::Route(route) => {
             let length = route.model.len();
             ensure(
-                (1..=MAX_MODEL_BYTES).contains(&length),
+                (1..=MAX_MODEL_NAME_BYTES).contains(&length),
                 "model",
                 &route.model,
                 "1 to 128 bytes",
--- a/mimosashift/src/resource/mod.rs
+++ b/mimosashift/src/resource/mod.rs
@@ -1,7 +1,7 @@
-//! Declared resources: what operators ask for, checked before it is stored.
+//! Resources declared by operators, validated before they are stored.
 //!
-//! The words follow `docs/GLOSSARY.md`; the operator surface is described in
-//! `docs/API.md`.
+//! The terms are defined in `docs/GLOSSARY.md`; the operator API is described
+//! in `docs/API.md`.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
 mod layers;
 mod name;
 mod snapshot;
-mod sorted;
+mod sorted_map;
 mod spec;
 
 pub use layers::Layers;
@@ -21,15 +21,15 @@
 pub use spec::{Endpoint, Engine, ModelLayers, Pipeline, Priority, Role, Route, Service, Team};
 
 quick_error! {
-    /// Why a resource was not accepted.
+    /// Why a resource was rejected.
     #[derive(Clone, Debug, PartialEq, Eq)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
-        /// A field holds a value that its rule does not allow.
+        /// A field has a value that its rule does not allow.
         Invalid { field: &'static str, value: String, rule: &'static str } {
             display("field {:?} has value {:?}, must be {}", field, value, rule)
         }
-        /// The body is not a resource of the named kind.
+        /// The body is not a specification of the given kind.
         Malformed { kind: Kind, reason: String } {
             display("{} is malformed: {}", kind, reason)
         }
@@ -37,18 +37,18 @@
         UnknownKind(kind: String) {
             display("kind {:?} does not exist, must be one of {:?}", kind, Kind::ALL.map(Kind::as_str))
         }
-        /// A field names a resource that does not exist.
+        /// A field refers to a resource that does not exist.
         Missing { field: &'static str, kind: Kind, name: Name } {
             display("field {:?} names {} {:?}, which does not exist", field, kind, name.as_str())
         }
-        /// Another resource still names the one to be deleted.
+        /// Another resource still refers to the one to be deleted.
         InUse { kind: Kind, name: Name } {
             display("{} {:?} still refers to it", kind, name.as_str())
         }
     }
 }
 
-/// The kinds of resource.
+/// The kind of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -66,7 +66,7 @@
     Service,
 }
 
-/// A checked specification of any kind.
+/// A validated specification of any kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Spec {
@@ -84,23 +84,24 @@
     Service(Service),
 }
 
-/// A stored resource with the configuration revision that last changed it.
+/// A stored resource.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Resource {
     /// Name, unique within its kind.
     pub name: Name,
-    /// Revision that last changed it.
+    /// Configuration revision that last changed it.
     pub revision: u64,
     /// The specification.
     pub spec: Spec,
 }
 
 impl Kind {
-    /// Every kind, in the order in which files should be applied.
+    /// All kinds, in the order in which to apply files: a kind comes after those
+    /// that it refers to.
     pub const ALL: [Self; 6] =
         [Self::Priority, Self::Team, Self::Pipeline, Self::Service, Self::Endpoint, Self::Route];
 
-    /// The kind as it stands in URLs and files.
+    /// The name of the kind in URLs and files.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Route => "route",
@@ -114,7 +115,7 @@
 }
 
 impl Spec {
-    /// Decodes and checks the JSON specification of a `kind`.
+    /// Decodes and validates the JSON specification of a resource of `kind`.
     ///
     /// References to other resources are checked by [`Snapshot::check`].
     pub fn decode(kind: Kind, body: &[u8]) -> Result<Self, Error> {
@@ -127,7 +128,7 @@
             Kind::Endpoint => Self::Endpoint(serde_json::from_slice(body).map_err(malformed)?),
             Kind::Service => Self::Service(serde_json::from_slice(body).map_err(malformed)?),
         };
-        check::values(&spec)?;
+        check::check_values(&spec)?;
         Ok(spec)
     }
 
@@ -143,7 +144,7 @@
         }
     }
 
-    /// The bare specification as JSON, without the kind around it.
+    /// The specification as JSON, without the enclosing kind.
     pub fn to_json(&self) -> serde_json::Value {
         let value = match self {
             Self::Route(spec) => serde_json::to_value(spec),
--- a/mimosashift/src/resource/name.rs
+++ b/mimosashift/src/resource/name.rs
@@ -1,4 +1,4 @@
-//! Checked names of resources.
+//! Validated names of resources.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -8,11 +8,11 @@
 
 use super::Error;
 
-/// Longest resource name, in bytes.
+/// Maximum length of a resource name, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// The name of a resource: 1 to 63 of `a-z`, `0-9`, `-`, `.`, starting with a
-/// letter or digit.
+/// The name of a resource: 1 to 63 characters of `a-z`, `0-9`, `-` and `.`,
+/// starting with a letter or digit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
--- a/mimosashift/src/resource/snapshot.rs
+++ b/mimosashift/src/resource/snapshot.rs
@@ -4,37 +4,37 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::sorted::Sorted;
+use super::sorted_map::SortedMap;
 use super::{
     Endpoint, Error, Kind, Name, Pipeline, Priority, Resource, Role, Route, Service, Spec, Team,
 };
 
-/// Bytes of a SHA-256 digest.
+/// Size of a SHA-256 digest in bytes.
 const DIGEST_BYTES: usize = 32;
 
 /// A SHA-256 digest of a bearer token.
 type Digest = [u8; DIGEST_BYTES];
 
-/// Every resource as of one revision; immutable once installed.
+/// All resources as of one revision; immutable once installed.
 ///
-/// A request keeps the snapshot that admitted it, so that a change never
-/// takes effect halfway through an answer. Snapshots share structure, see
+/// A request keeps the snapshot under which it was admitted, so a change never
+/// takes effect in the middle of a response. Snapshots share structure, see
 /// `docs/design/configuration.md`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-#[serde(from = "Wire", into = "Wire")]
+#[serde(from = "SerializedSnapshot", into = "SerializedSnapshot")]
 pub struct Snapshot {
     revision: u64,
-    /// One map per kind, in the order of [`Kind`]'s declaration.
-    kinds: [Sorted<Name, Arc<Resource>>; Kind::ALL.len()],
-    /// Teams by the digests of their tokens.
-    tokens: Sorted<(Digest, Name), ()>,
-    /// Routes by the model that they serve.
-    models: Sorted<(Arc<str>, Name), ()>,
+    /// One map per kind, indexed by the discriminant of [`Kind`].
+    kinds: [SortedMap<Name, Arc<Resource>>; Kind::ALL.len()],
+    /// Teams by token digest.
+    tokens: SortedMap<(Digest, Name), ()>,
+    /// Routes by model name.
+    models: SortedMap<(Arc<str>, Name), ()>,
 }
 
-/// A snapshot as it is serialized.
+/// The serialized form of a snapshot.
 #[derive(Serialize, Deserialize)]
-struct Wire {
+struct SerializedSnapshot {
     revision: u64,
     resources: Vec<Arc<Resource>>,
 }
@@ -49,37 +49,38 @@
         snapshot
     }
 
-    /// The revision of the last change it contains.
+    /// The revision of the last change that it contains.
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
     /// Number of resources.
     pub fn len(&self) -> usize {
-        self.kinds.iter().map(Sorted::len).sum()
+        self.kinds.iter().map(SortedMap::len).sum()
     }
 
-    /// Whether it holds no resource.
+    /// Whether it contains no resources.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The resource of a kind and name.
+    /// The resource with this kind and name.
     pub fn get(&self, kind: Kind, name: &Name) -> Option<&Resource> {
         self.kinds[kind as usize].get(name).map(Arc::as_ref)
     }
 
-    /// The resources of a kind, in order of name.
+    /// The resources of a kind, sorted by name.
     pub fn list(&self, kind: Kind) -> impl Iterator<Item = &Resource> {
         self.kinds[kind as usize].iter().map(|(_, resource)| resource.as_ref())
     }
 
-    /// Every resource, by kind and name.
+    /// All resources, sorted by kind and name.
     pub fn iter(&self) -> impl Iterator<Item = &Resource> {
-        self.kinds.iter().flat_map(Sorted::iter).map(|(_, resource)| resource.as_ref())
+        self.kinds.iter().flat_map(SortedMap::iter).map(|(_, resource)| resource.as_ref())
     }
 
-    /// This snapshot with one change applied at `revision`; `None` deletes.
+    /// This snapshot with one change applied at `revision`; a `spec` of `None`
+    /// deletes the resource.
     pub fn with(&self, revision: u64, kind: Kind, name: &Name, spec: Option<Spec>) -> Self {
         let mut next = self.clone();
         next.revision = revision;
@@ -90,8 +91,8 @@
         next
     }
 
-    /// The route under which callers know `model`; the first by name where
-    /// several serve it.
+    /// The route for the model name used by callers; the first by route name if
+    /// several declare it.
     pub fn route(&self, model: &str) -> Option<(&Name, &Route)> {
         let ((found, name), ()) = self.models.first(|(m, _)| m.as_ref() < model)?;
         if found.as_ref() != model {
@@ -103,8 +104,8 @@
         }
     }
 
-    /// The team that a token's SHA-256 digest belongs to; the first by name
-    /// where several declare it.
+    /// The team to which the token with this SHA-256 digest belongs; the first
+    /// by name if several declare it.
     pub fn team_of_token(&self, digest: &Digest) -> Option<(&Name, &Team)> {
         let ((found, name), ()) = self.tokens.first(|(d, _)| d < digest)?;
         if found != digest {
@@ -113,7 +114,7 @@
         self.team(name).map(|team| (name, team))
     }
 
-    /// The pipeline of a name.
+    /// The pipeline with this name.
     pub fn pipeline(&self, name: &Name) -> Option<&Pipeline> {
         match &self.get(Kind::Pipeline, name)?.spec {
             Spec::Pipeline(spec) => Some(spec),
@@ -121,7 +122,7 @@
         }
     }
 
-    /// The team of a name.
+    /// The team with this name.
     pub fn team(&self, name: &Name) -> Option<&Team> {
         match &self.get(Kind::Team, name)?.spec {
             Spec::Team(spec) => Some(spec),
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The priority of a name.
+    /// The priority with this name.
     pub fn priority(&self, name: &Name) -> Option<&Priority> {
         match &self.get(Kind::Priority, name)?.spec {
             Spec::Priority(spec) => Some(spec),
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The service of a name.
+    /// The service with this name.
     pub fn service(&self, name: &Name) -> Option<&Service> {
         match &self.get(Kind::Service, name)?.spec {
             Spec::Service(spec) => Some(spec),
@@ -169,7 +170,7 @@
         })
     }
 
-    /// Checks that every resource that `spec` names exists.
+    /// Checks that every resource to which `spec` refers exists.
     pub fn check(&self, spec: &Spec) -> Result<(), Error> {
         match spec {
             Spec::Route(route) => {
@@ -182,19 +183,19 @@
                 Role::Engine(engine) => engine
                     .holds
                     .iter()
-                    .try_for_each(|held| self.require("holds", Kind::Pipeline, &held.pipeline)),
+                    .try_for_each(|layers| self.require("holds", Kind::Pipeline, &layers.pipeline)),
             },
             Spec::Pipeline(_) | Spec::Priority(_) | Spec::Service(_) => Ok(()),
         }
     }
 
-    /// Checks that no other resource names the one to be deleted.
+    /// Checks that no other resource refers to the one to be deleted.
     pub fn check_delete(&self, kind: Kind, name: &Name) -> Result<(), Error> {
         let without = self.with(self.revision, kind, name, None);
         for resource in without.iter() {
             if without.check(&resource.spec).is_err() {
-                let user = resource.spec.kind();
-                return Err(Error::InUse { kind: user, name: resource.name.clone() });
+                let referrer = resource.spec.kind();
+                return Err(Error::InUse { kind: referrer, name: resource.name.clone() });
             }
         }
         Ok(())
@@ -204,7 +205,7 @@
         let kind = resource.spec.kind();
         self.remove(kind, &resource.name);
         match &resource.spec {
-            Spec::Team(team) => digests(team)
+            Spec::Team(team) => token_digests(team)
                 .for_each(|digest| self.tokens.insert((digest, resource.name.clone()), ())),
             Spec::Route(route) => {
                 self.models.insert((route.model.as_str().into(), resource.name.clone()), ());
@@ -218,7 +219,7 @@
         let Some(old) = self.kinds[kind as usize].get(name).cloned() else { return };
         match &old.spec {
             Spec::Team(team) => {
-                digests(team).for_each(|digest| self.tokens.remove(&(digest, name.clone())));
+                token_digests(team).for_each(|digest| self.tokens.remove(&(digest, name.clone())));
             }
             Spec::Route(route) => {
                 self.models.remove(&(route.model.as_str().into(), name.clone()));
@@ -242,24 +243,24 @@
     }
 }
 
-impl From<Wire> for Snapshot {
-    fn from(wire: Wire) -> Self {
-        let mut snapshot = Self { revision: wire.revision, ..Self::default() };
-        wire.resources.into_iter().for_each(|resource| snapshot.insert(resource));
+impl From<SerializedSnapshot> for Snapshot {
+    fn from(serialized: SerializedSnapshot) -> Self {
+        let mut snapshot = Self { revision: serialized.revision, ..Self::default() };
+        serialized.resources.into_iter().for_each(|resource| snapshot.insert(resource));
         snapshot
     }
 }
 
-impl From<Snapshot> for Wire {
+impl From<Snapshot> for SerializedSnapshot {
     fn from(snapshot: Snapshot) -> Self {
-        let resources = snapshot.kinds.iter().flat_map(Sorted::iter);
+        let resources = snapshot.kinds.iter().flat_map(SortedMap::iter);
         Self { revision: snapshot.revision, resources: resources.map(|(_, r)| r.clone()).collect() }
     }
 }
 
-/// The token digests of a team; one that is not valid hexadecimal matches no
-/// token and is left out.
-fn digests(team: &Team) -> impl Iterator<Item = Digest> {
+/// The decoded token digests of a team; invalid hexadecimal is skipped, since
+/// it cannot match a token.
+fn token_digests(team: &Team) -> impl Iterator<Item = Digest> {
     team.token_digests.iter().filter_map(|text| {
         let mut digest = [0; DIGEST_BYTES];
         hex::decode_to_slice(text, &mut digest).ok()?;
--- a/mimosashift/src/resource/sorted.rs
+++ b/mimosashift/src/resource/sorted_map.rs
@@ -1,22 +1,22 @@
-//! A sorted map whose copies share structure.
+//! A sorted map whose clones share structure.
 
 use std::sync::Arc;
 
-/// Most entries of one chunk; a full chunk is split into two.
+/// Maximum number of entries in a chunk; a chunk that exceeds it is split.
 const MAX_CHUNK_ENTRIES: usize = 256;
 
-/// A map in key order, stored as sorted chunks behind [`Arc`]s.
+/// A map sorted by key, stored as sorted chunks behind [`Arc`]s.
 ///
-/// A clone copies only the list of chunks and a change copies one chunk, so
-/// that successive snapshots of tens of thousands of resources share all but a
-/// few kilobytes.
+/// A clone copies only the list of chunks, and a change copies one chunk, so
+/// successive snapshots of tens of thousands of resources share all but a few
+/// kilobytes.
 #[derive(Clone, Debug)]
-pub(super) struct Sorted<K, V> {
+pub(super) struct SortedMap<K, V> {
     /// Never holds an empty chunk.
     chunks: Vec<Arc<Vec<(K, V)>>>,
 }
 
-impl<K: Ord + Clone, V: Clone> Sorted<K, V> {
+impl<K: Ord + Clone, V: Clone> SortedMap<K, V> {
     /// Number of entries.
     pub(super) fn len(&self) -> usize {
         self.chunks.iter().map(|chunk| chunk.len()).sum()
@@ -28,25 +28,26 @@
         K: std::borrow::Borrow<Q>,
         Q: Ord + ?Sized,
     {
-        let chunk = self.chunks.get(self.chunk_of(|k| k.borrow() < key))?;
+        let chunk = self.chunks.get(self.chunk_index(|k| k.borrow() < key))?;
         let at = chunk.binary_search_by(|(k, _)| k.borrow().cmp(key)).ok()?;
         Some(&chunk[at].1)
     }
 
-    /// The first entry whose key is not `before` the position sought.
+    /// The first entry whose key does not satisfy `before`, which must hold for
+    /// a prefix of the keys.
     pub(super) fn first(&self, before: impl Fn(&K) -> bool) -> Option<&(K, V)> {
-        let chunk = self.chunks.get(self.chunk_of(&before))?;
+        let chunk = self.chunks.get(self.chunk_index(&before))?;
         chunk.get(chunk.partition_point(|(k, _)| before(k)))
     }
 
-    /// Every entry in key order.
+    /// All entries in key order.
     pub(super) fn iter(&self) -> impl Iterator<Item = &(K, V)> {
         self.chunks.iter().flat_map(|chunk| chunk.iter())
     }
 
     /// Sets the value of a key.
     pub(super) fn insert(&mut self, key: K, value: V) {
-        let index = self.chunk_of(|k| *k < key);
+        let index = self.chunk_index(|k| *k < key);
         if index == self.chunks.len() {
             self.append(key, value);
             return;
@@ -55,7 +56,7 @@
         match entries.binary_search_by(|(k, _)| k.cmp(&key)) {
             Ok(at) => entries[at].1 = value,
             Err(at) => {
-                // Spare room would add up over hundreds of chunks.
+                // Spare capacity would add up over hundreds of chunks.
                 entries.reserve_exact(1);
                 entries.insert(at, (key, value));
             }
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Adds a key above all others; a full last chunk stays full.
+    /// Adds a key greater than all others. A full last chunk is not split, so
+    /// keys inserted in order fill their chunks.
     fn append(&mut self, key: K, value: V) {
         match self.chunks.last_mut().filter(|chunk| chunk.len() < MAX_CHUNK_ENTRIES) {
             Some(chunk) => {
@@ -81,7 +83,7 @@
 
     /// Removes a key.
     pub(super) fn remove(&mut self, key: &K) {
-        let index = self.chunk_of(|k| k < key);
+        let index = self.chunk_index(|k| k < key);
         let Some(chunk) = self.chunks.get_mut(index) else { return };
         let Ok(at) = chunk.binary_search_by(|(k, _)| k.cmp(key)) else { return };
         let entries = Arc::make_mut(chunk);
@@ -91,19 +93,19 @@
         }
     }
 
-    /// The first chunk whose last key is not `before` the position sought.
-    fn chunk_of(&self, before: impl Fn(&K) -> bool) -> usize {
+    /// Index of the first chunk whose last key does not satisfy `before`.
+    fn chunk_index(&self, before: impl Fn(&K) -> bool) -> usize {
         self.chunks.partition_point(|chunk| chunk.last().is_some_and(|(k, _)| before(k)))
     }
 }
 
-impl<K, V> Default for Sorted<K, V> {
+impl<K, V> Default for SortedMap<K, V> {
     fn default() -> Self {
         Self { chunks: Vec::new() }
     }
 }
 
-impl<K: Ord + Clone, V: Clone> FromIterator<(K, V)> for Sorted<K, V> {
+impl<K: Ord + Clone, V: Clone> FromIterator<(K, V)> for SortedMap<K, V> {
     fn from_iter<I: IntoIterator<Item = (K, V)>>(entries: I) -> Self {
         let mut map = Self::default();
         for (key, value) in entries {
--- a/mimosashift/src/resource/spec.rs
+++ b/mimosashift/src/resource/spec.rs
@@ -1,4 +1,4 @@
-//! What an operator declares, one struct per kind of resource.
+//! Specifications declared by operators, one struct per kind of resource.
 //!
 //! Field units and defaults are documented in `docs/API.md`.
 
@@ -9,21 +9,21 @@
 
 use super::{Layers, Name};
 
-/// A model under the name that callers use, and who may call it.
+/// Maps a model name used by callers to a pipeline, and limits who may call it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The `model` field of a caller's request.
+    /// The value of the `model` field in requests.
     pub model: String,
-    /// The pipeline that answers.
+    /// The pipeline that serves the requests.
     pub pipeline: Name,
-    /// Teams that may call; empty means every team.
+    /// Teams that may call the model; empty means every team.
     #[serde(default)]
     pub teams: Vec<Name>,
-    /// Deadline of a request that names none, in milliseconds.
+    /// Default deadline of a request, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Most tokens one request may generate.
+    /// Maximum number of tokens that one request may generate.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
 }
@@ -36,16 +36,16 @@
     pub layers: u16,
     /// Version that new requests use.
     pub version: u32,
-    /// Adapters that a request may name.
+    /// Adapters that a request may use.
     #[serde(default)]
     pub adapters: Vec<Name>,
-    /// Live copies wanted of every layer.
+    /// Target number of live copies of every layer.
     #[serde(default = "default_copies")]
     pub copies: u16,
-    /// Bytes of activation passed between two stages for one token.
+    /// Bytes of activations passed between two stages per token.
     #[serde(default = "default_hidden_bytes")]
     pub hidden_bytes: u32,
-    /// Bytes of KV cache that one layer keeps for one token.
+    /// Bytes of KV cache per layer and token.
     #[serde(default = "default_kv_bytes")]
     pub kv_bytes: u32,
 }
@@ -62,56 +62,56 @@
     /// Whether the team's tokens may change resources.
     #[serde(default)]
     pub operator: bool,
-    /// Share of capacity among teams of the same priority.
+    /// Relative share of capacity among teams of the same priority.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Requests admitted a second over all routers; 0 means no limit.
+    /// Requests admitted per second across all routers; 0 means no limit.
     #[serde(default)]
     pub requests_per_second: u32,
-    /// Tokens generated a second over all routers; 0 means no limit.
+    /// Tokens generated per second across all routers; 0 means no limit.
     #[serde(default)]
     pub tokens_per_second: u32,
 }
 
-/// A class of requests; a lower level is served first and shed last.
+/// A priority class of requests; a lower level is served first and shed last.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Priority {
-    /// 0 is served first.
+    /// Level of the class; 0 is served first.
     pub level: u8,
 }
 
-/// A plain service behind the router.
+/// An HTTP service behind the router that is not a model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Methods that may be repeated; every other method runs at most once.
+    /// Methods that may be retried; every other method runs at most once.
     #[serde(default = "default_idempotent")]
     pub idempotent: Vec<String>,
-    /// Time allowed for one exchange, in milliseconds.
+    /// Timeout of one request and its response, in milliseconds.
     #[serde(default = "default_service_timeout_ms")]
     pub timeout_ms: u64,
 }
 
-/// A back end: a model engine that holds layers, or an instance of a service.
+/// A backend: a model engine that holds layers, or an instance of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// Address it listens on.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Failure domain it runs in.
     pub domain: Name,
-    /// What it does.
+    /// Role of the endpoint.
     pub role: Role,
 }
 
-/// What an endpoint does.
+/// The role of an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
     /// Runs a range of layers of one or more models.
     Engine(Box<Engine>),
-    /// Answers calls of a plain service.
+    /// Runs an instance of this service.
     Service(Name),
 }
 
@@ -119,33 +119,33 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Kind of accelerator.
+    /// Accelerator type.
     pub accelerator: Name,
-    /// Microseconds to run one layer for a batch of one token.
+    /// Time to run one layer for a batch of one token, in microseconds.
     pub layer_us: u32,
-    /// Sequences that one iteration can batch.
+    /// Maximum number of sequences batched in one iteration.
     #[serde(default = "default_slots")]
     pub slots: u16,
     /// One-way link latency to a router of the same domain, in microseconds.
     #[serde(default)]
     pub link_us: u32,
-    /// Link bandwidth in bytes a second.
+    /// Link bandwidth in bytes per second.
     #[serde(default = "default_link_bytes")]
     pub link_bytes_per_second: u64,
-    /// Layers it holds, one entry per model and version.
+    /// Layers that it holds, one entry per model and version.
     pub holds: SmallVec<[ModelLayers; 2]>,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
 }
 
-/// Layers of one version of a model, held by an engine.
+/// Layers of one version of a model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelLayers {
-    /// The model.
+    /// The pipeline that describes the model.
     pub pipeline: Name,
-    /// Its version.
+    /// The version of the model.
     pub version: u32,
     /// The layers.
     pub layers: Layers,
