--- a/mimosashift/tests/common/lease_world.rs
+++ b/mimosashift/tests/common/lease_world.rs
@@ -1,4 +1,5 @@
-//! Two routers that contend for one lease, and endpoints under it.
+//! Model of two routers that compete for one lease, and of the endpoints that
+//! receive their orders.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 
 use super::explore::System;
 
-/// A mistake put into the protocol, to show that it is caught.
+/// A fault put into the protocol; the model check must detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutation {
     None,
@@ -22,13 +23,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Router {
     lease: Lease,
-    writing: Option<(Option<u64>, String)>,
-    /// Number of the last order that it could send, and when that can arrive
-    /// at the latest.
+    pending_write: Option<(Option<u64>, String)>,
+    /// Fencing number of the last order that it could send, and the latest time
+    /// at which that order can arrive.
     order: Option<(FencingNumber, Instant)>,
 }
 
-/// The whole system; all clocks run alike.
+/// State of the model; all clocks run at the same rate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     mutation: Mutation,
@@ -40,49 +41,49 @@
     delayed: Vec<(Option<u64>, String)>,
     /// Whether the endpoint checks the fencing number.
     endpoint_checks: bool,
-    /// The first router that could send each number.
-    numbers: Vec<(FencingNumber, usize)>,
+    /// The first router that could send an order with each fencing number.
+    number_owners: Vec<(FencingNumber, usize)>,
 }
 
 const TICK: Duration = Duration::from_millis(1);
-/// Writes that the routers may begin in all.
-const WRITES: u8 = 4;
+/// Total number of writes that the routers may start.
+const MAX_WRITES: u8 = 4;
 const HORIZON: Instant = Instant::from_millis(5);
-/// Longest time from the check of the lease to the effect of an order.
-const MAX_WAY: Duration = TICK;
+/// Maximum time from the check of the lease to the effect of an order.
+const MAX_SEND_DELAY: Duration = TICK;
 
 impl World {
     pub fn new(mutation: Mutation, endpoint_checks: bool, faults_left: u8) -> Self {
-        let margin = if mutation == Mutation::NoMargin { Duration::ZERO } else { MAX_WAY };
+        let margin = if mutation == Mutation::NoMargin { Duration::ZERO } else { MAX_SEND_DELAY };
         let settings = Settings { duration: Duration::from_millis(3), margin, drift_ppm: 0 };
         let group = Name::try_from("group").unwrap();
         let router = |name: &str| {
             let lease = Lease::new(settings, &group, Name::try_from(name).unwrap(), 1);
-            Router { lease, writing: None, order: None }
+            Router { lease, pending_write: None, order: None }
         };
         Self {
             mutation,
             now: Instant::ZERO,
             faults_left,
-            writes_left: WRITES,
+            writes_left: MAX_WRITES,
             routers: [router("a"), router("b")],
             rows: Vec::new(),
             delayed: Vec::new(),
             endpoint_checks,
-            numbers: Vec::new(),
+            number_owners: Vec::new(),
         }
     }
 
-    fn row(&self, back: usize) -> Option<Row> {
-        let (revision, value) = self.rows.iter().rev().nth(back)?;
+    fn row(&self, age: usize) -> Option<Row> {
+        let (revision, value) = self.rows.iter().rev().nth(age)?;
         let key = self.routers[0].lease.key().clone();
         Some(Row { key, revision: *revision, value: value.clone() })
     }
 
-    /// Applies a write; of the older rows only the last one stays readable.
-    fn apply(&mut self, over: Option<u64>, value: &str) -> Outcome<u64> {
+    /// Applies a write. Only the newest row and the one before it stay readable.
+    fn apply(&mut self, base_revision: Option<u64>, value: &str) -> Outcome<u64> {
         let newest = self.rows.last().map(|(revision, _)| *revision);
-        if newest != over {
+        if newest != base_revision {
             return Outcome::NotDone(Refusal::Conflict(self.row(0)));
         }
         let revision = newest.unwrap_or(0) + 1;
@@ -93,24 +94,24 @@
         Outcome::Done(revision)
     }
 
-    fn table_steps(&self, index: usize, out: &mut Vec<Self>) {
-        let Some((over, value)) = &self.routers[index].writing else {
+    fn write_successors(&self, index: usize, out: &mut Vec<Self>) {
+        let Some((base_revision, value)) = &self.routers[index].pending_write else {
             return;
         };
         let mut step = |applied: bool, answered: bool, delayed: bool| {
             let mut next = self.clone();
             let mut outcome = Outcome::Unknown;
             if applied {
-                outcome = next.apply(*over, value);
+                outcome = next.apply(*base_revision, value);
             }
             if delayed {
-                next.delayed.push((*over, value.clone()));
+                next.delayed.push((*base_revision, value.clone()));
             }
             if !answered {
                 outcome = Outcome::Unknown;
                 next.faults_left -= 1;
             }
-            next.routers[index].writing = None;
+            next.routers[index].pending_write = None;
             next.routers[index].lease.on_write_result(&outcome, next.now);
             out.push(next);
         };
@@ -121,13 +122,13 @@
         }
     }
 
-    fn router_steps(&self, index: usize, out: &mut Vec<Self>) {
-        self.table_steps(index, out);
-        if self.routers[index].writing.is_none() {
-            for back in 0..=usize::from(self.faults_left > 0) {
+    fn router_successors(&self, index: usize, out: &mut Vec<Self>) {
+        self.write_successors(index, out);
+        if self.routers[index].pending_write.is_none() {
+            for age in 0..=usize::from(self.faults_left > 0) {
                 let mut next = self.clone();
-                next.faults_left -= u8::from(back > 0);
-                next.routers[index].lease.observe(self.row(back).as_ref(), self.now);
+                next.faults_left -= u8::from(age > 0);
+                next.routers[index].lease.observe(self.row(age).as_ref(), self.now);
                 out.push(next);
             }
             for suspected in [false, true] {
@@ -136,21 +137,22 @@
                 let Some(write) = write else { continue };
                 if next.writes_left > 0 {
                     next.writes_left -= 1;
-                    next.routers[index].writing = Some(single(&write));
+                    next.routers[index].pending_write = Some(base_and_value(&write));
                     out.push(next);
                 }
             }
         }
     }
 
-    /// Notes the orders that could be sent in this state.
-    fn with_orders(mut self) -> Self {
-        let assumed = self.endpoint_checks || self.mutation == Mutation::NoWaitForUncheckedEndpoint;
+    /// Records the orders that could be sent in this state.
+    fn record_orders(mut self) -> Self {
+        let assumed_checks =
+            self.endpoint_checks || self.mutation == Mutation::NoWaitForUncheckedEndpoint;
         for (index, router) in self.routers.iter_mut().enumerate() {
-            if let Some(number) = router.lease.authorize(assumed, self.now) {
-                router.order = Some((number, self.now + MAX_WAY));
-                if !self.numbers.iter().any(|(known, _)| *known == number) {
-                    self.numbers.push((number, index));
+            if let Some(number) = router.lease.authorize(assumed_checks, self.now) {
+                router.order = Some((number, self.now + MAX_SEND_DELAY));
+                if !self.number_owners.iter().any(|(known, _)| *known == number) {
+                    self.number_owners.push((number, index));
                 }
             }
             router.order = router.order.filter(|(_, latest)| *latest >= self.now);
@@ -163,12 +165,12 @@
     fn successors(&self) -> Vec<Self> {
         let mut out = Vec::new();
         for index in 0..self.routers.len() {
-            self.router_steps(index, &mut out);
+            self.router_successors(index, &mut out);
         }
         for at in 0..self.delayed.len() {
             let mut next = self.clone();
-            let (over, value) = next.delayed.remove(at);
-            next.apply(over, &value);
+            let (base_revision, value) = next.delayed.remove(at);
+            next.apply(base_revision, &value);
             out.push(next);
         }
         if self.now < HORIZON {
@@ -176,7 +178,7 @@
             next.now = next.now + TICK;
             out.push(next);
         }
-        out.into_iter().map(Self::with_orders).collect()
+        out.into_iter().map(Self::record_orders).collect()
     }
 
     fn violation(&self) -> Option<String> {
@@ -186,8 +188,8 @@
         }
         for (index, router) in self.routers.iter().enumerate() {
             let Some((number, _)) = router.order else { continue };
-            if self.numbers.iter().any(|(known, owner)| *known == number && *owner != index) {
-                return Some("one number for two holders".to_owned());
+            if self.number_owners.iter().any(|(known, owner)| *known == number && *owner != index) {
+                return Some("two holders share a fencing number".to_owned());
             }
         }
         let refuses = self.endpoint_checks && self.mutation != Mutation::EndpointForgetsNumber;
@@ -196,12 +198,12 @@
     }
 }
 
-fn single(transaction: &Transaction) -> (Option<u64>, String) {
-    let over = match &transaction.checks[..] {
+fn base_and_value(transaction: &Transaction) -> (Option<u64>, String) {
+    let base_revision = match &transaction.checks[..] {
         [Check::Absent(_)] => None,
         [Check::Revision(_, revision)] => Some(*revision),
-        checks => panic!("one check expected: {checks:?}"),
+        checks => panic!("expected one check: {checks:?}"),
     };
-    let [Write::Put(_, value)] = &transaction.writes[..] else { panic!("one put expected") };
-    (over, value.clone())
+    let [Write::Put(_, value)] = &transaction.writes[..] else { panic!("expected one put") };
+    (base_revision, value.clone())
 }
--- a/mimosashift/tests/common/rows.rs
+++ b/mimosashift/tests/common/rows.rs
@@ -1,4 +1,4 @@
-//! A table without faults.
+//! An in-memory table without fault injection.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
         }
         self.revision += 1;
         for write in &transaction.writes {
-            let Write::Put(key, value) = write else { panic!("claims are never deleted") };
+            let Write::Put(key, value) = write else { panic!("no test deletes rows") };
             let row = Row { key: key.clone(), revision: self.revision, value: value.clone() };
             self.rows.insert(key.clone(), row);
         }
--- a/mimosashift/tests/config.rs
+++ b/mimosashift/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: changes and loading under faults.
+//! Configuration changes and loading under table faults.
 
 mod fake;
 
@@ -25,16 +25,16 @@
     call::run(table, CatchUp::new(State::default())).unwrap().records
 }
 
-#[test_case(&[], Ok(1); "answered")]
-#[test_case(&[Fault::LostAfterEffect], Ok(1); "answer lost after effect")]
-#[test_case(&[Fault::LostBeforeEffect], Ok(1); "call lost before effect")]
-#[test_case(&[Fault::LostBeforeEffect, Fault::LostAfterEffect], Ok(1); "lost twice")]
-#[test_case(&[Fault::Down], Err(true); "refused outright")]
-#[test_case(&[Fault::LostAfterEffect, Fault::Down], Err(false); "lost after effect then down")]
-#[test_case(&[Fault::LostBeforeEffect, Fault::Down], Err(false); "lost before effect then down")]
-#[test_case(&[Fault::LostAfterEffect; 8], Ok(1); "every answer lost")]
-#[test_case(&[Fault::LostBeforeEffect; 8], Err(false); "every call lost")]
-fn outcome_is_true(faults: &[Fault], expected: Result<u64, bool>) {
+#[test_case(&[], Ok(1); "no fault")]
+#[test_case(&[Fault::LostAfterEffect], Ok(1); "response lost after commit")]
+#[test_case(&[Fault::LostBeforeEffect], Ok(1); "request lost before commit")]
+#[test_case(&[Fault::LostBeforeEffect, Fault::LostAfterEffect], Ok(1); "request lost then response lost")]
+#[test_case(&[Fault::Down], Err(true); "refused")]
+#[test_case(&[Fault::LostAfterEffect, Fault::Down], Err(false); "response lost then down")]
+#[test_case(&[Fault::LostBeforeEffect, Fault::Down], Err(false); "request lost then down")]
+#[test_case(&[Fault::LostAfterEffect; 8], Ok(1); "every response lost")]
+#[test_case(&[Fault::LostBeforeEffect; 8], Err(false); "every request lost")]
+fn reported_outcome_matches_the_table(faults: &[Fault], expected: Result<u64, bool>) {
     let table = Fake::default();
     table.with(|inner| inner.commits = faults.to_vec());
     let outcome = commit(&table, change(7, "urgent", 0), &State::default());
@@ -45,12 +45,13 @@
     if expected == Err(true) {
         assert!(records.is_empty(), "reported as not run: {records:?}");
     }
-    // The same identifier again never makes a second revision.
+    // Committing again with the same identifier never creates a second
+    // revision.
     assert_eq!(commit(&table, change(7, "urgent", 0), &State::default()), Ok(1));
 }
 
 #[test]
-fn reused_identifier_is_refused() {
+fn reused_change_id_is_rejected() {
     let table = Fake::default();
     commit(&table, change(7, "urgent", 0), &State::default()).unwrap();
     let other = commit(&table, change(7, "urgent", 1), &State::default());
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn race_has_one_winner_per_revision() {
+fn concurrent_changes_commit_once_per_revision() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let table = Fake::default();
@@ -73,7 +74,7 @@
                 (machine, step)
             })
             .collect();
-        // Interleaves the calls of the three operators at random.
+        // Interleaves the calls of three operators in random order.
         while machines.iter().any(|(_, step)| matches!(step, Step::Call(_))) {
             let picked = rng.random_range(0..machines.len());
             let (machine, step) = &mut machines[picked];
@@ -88,7 +89,7 @@
                 Step::Call(_) => unreachable!(),
             })
             .collect();
-        let winner = records(&table).pop().unwrap();
+        let committed = records(&table).pop().unwrap();
         assert_eq!(results.iter().filter(|r| **r == Ok(2)).count(), 1, "seed {seed}: {results:?}");
         for lost in results.iter().filter(|r| r.is_err()) {
             let Err(Error::Precondition { found: Some(2), changed_by: Some(changed_by), .. }) =
@@ -96,13 +97,13 @@
             else {
                 panic!("seed {seed}: {lost:?}");
             };
-            assert_eq!(*changed_by, winner.operator, "seed {seed}");
+            assert_eq!(*changed_by, committed.operator, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn endless_race_names_the_winner() {
+fn contended_change_reports_the_last_operator() {
     let table = Fake::default();
     commit(&table, change(1, "urgent", 0), &State::default()).unwrap();
     let mut machine = Commit::new(change(2, "batch", 1), load(&table));
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn audit_shortens_digests() {
+fn audit_truncates_digests() {
     let table = Fake::default();
     commit(&table, change(1, "urgent", 0), &State::default()).unwrap();
     let digest = "ab".repeat(32);
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn older_table_is_never_followed() {
+fn restored_table_is_rejected() {
     let table = Fake::default();
     commit(&table, change(1, "urgent", 0), &State::default()).unwrap();
     let backup = table.rows();
@@ -181,13 +182,14 @@
     let stale = Error::Stale { installed: 2, table: 1 };
     assert_eq!(commit(&table, change(3, "urgent", 2), &installed), Err(stale.clone()));
     assert_eq!(call::run(&table, Load::new(2)), Err(stale));
-    // Someone without the newer revision writes on; the history has split.
+    // A router without the newer revision commits another change, so the
+    // histories diverge.
     commit(&table, change(4, "urgent", 3), &State::default()).unwrap();
-    let split = call::run(&table, CatchUp::new(installed.clone()));
-    assert_eq!(split.map(|p| p.records), Err(Error::Diverged(2)));
+    let diverged = call::run(&table, CatchUp::new(installed.clone()));
+    assert_eq!(diverged.map(|p| p.records), Err(Error::Diverged(2)));
     commit(&table, change(5, "urgent", 4), &State::default()).unwrap();
-    let split = call::run(&table, CatchUp::new(installed));
-    assert_eq!(split.map(|p| p.records), Err(Error::Diverged(3)));
+    let diverged = call::run(&table, CatchUp::new(installed));
+    assert_eq!(diverged.map(|p| p.records), Err(Error::Diverged(3)));
 }
 
 #[test]
@@ -197,7 +199,7 @@
         let table = Fake::default();
         let mut id = 0;
         let mut installed = State::default();
-        let mut edit = |rng: &mut Pcg64Mcg| {
+        let mut commit_random_change = |rng: &mut Pcg64Mcg| {
             id += 1;
             let target = format!("p{}", rng.random_range(0..1_200));
             let mut wanted = change(id, &target, 0);
@@ -208,13 +210,13 @@
                 installed = committed.progress.state;
             }
         };
-        (0..300).for_each(|_| edit(&mut rng));
+        (0..300).for_each(|_| commit_random_change(&mut rng));
         let mut machine = Load::new(0);
         let mut step = machine.start();
         let state = loop {
             match step {
                 Step::Call(call) => {
-                    edit(&mut rng);
+                    commit_random_change(&mut rng);
                     step = machine.on_response(call::execute(&table, &call));
                 }
                 Step::Done(state) => break state.unwrap(),
@@ -229,7 +231,7 @@
 }
 
 #[test]
-fn load_of_stale_pages_is_refused() {
+fn load_of_stale_pages_is_rejected() {
     let table = Fake::default();
     commit(&table, change(1, "urgent", 0), &State::default()).unwrap();
     let old = table.rows();
@@ -250,7 +252,7 @@
 }
 
 #[test]
-fn oversized_specification_is_refused() {
+fn oversized_specification_is_rejected() {
     let table = Fake::default();
     let teams: Vec<_> = (0..2_000).map(|n| format!("\"{n:040}\"")).collect();
     let body = format!(r#"{{"model":"m","pipeline":"p","teams":[{}]}}"#, teams.join(","));
@@ -261,9 +263,10 @@
     assert_eq!(result, Err(Error::TooLarge { limit: 65_536 }));
 }
 
-/// The first lookup reads from before the earlier try of the same change.
+/// Guards against applying a change twice when the lookup of its identifier is
+/// answered with rows from before the earlier attempt.
 #[test]
-fn stale_lookup_does_not_double_a_change() {
+fn stale_lookup_does_not_apply_a_change_twice() {
     let table = Fake::default();
     let before = table.rows();
     commit(&table, change(7, "urgent", 0), &State::default()).unwrap();
@@ -284,7 +287,7 @@
 }
 
 #[test]
-fn record_of_another_history_is_refused() {
+fn record_of_another_history_is_rejected() {
     let table = Fake::default();
     commit(&table, change(1, "urgent", 0), &State::default()).unwrap();
     let installed = load(&table);
--- a/mimosashift/tests/order.rs
+++ b/mimosashift/tests/order.rs
@@ -1,4 +1,4 @@
-//! Leases, dispatch, pacing and placement.
+//! Leases, order queues, load pacing and placement.
 
 use std::time::Duration;
 
@@ -30,11 +30,11 @@
 }
 
 fn written(transaction: &Transaction, revision: u64) -> Row {
-    let Write::Put(key, value) = transaction.writes[0].clone() else { panic!("a put expected") };
+    let Write::Put(key, value) = transaction.writes[0].clone() else { panic!("expected a put") };
     Row { key, revision, value }
 }
 
-/// A lease held by `a` from time 0 and its row.
+/// A lease held by `a` since time 0, and its row.
 fn held() -> (Lease, Row) {
     let mut a = lease("a");
     let write = a.write(false, secs(0)).unwrap();
@@ -43,19 +43,19 @@
 }
 
 #[test]
-fn lease_counts_from_before_the_write() {
+fn lease_time_starts_before_the_write() {
     let (a, _) = held();
     assert_eq!(a.authorize(true, secs(6)), Some(FencingNumber(1)));
     assert_eq!(a.authorize(true, secs(7)), None);
 }
 
-/// Many routers look at a lease that one of them has just taken; none may take
-/// it over before its holder had the time to renew it.
+/// Guards against routers taking over a lease that another one has just
+/// acquired, before the holder had time to renew it.
 #[test]
 fn holder_is_overdue_only_after_its_renewal() {
     let (mut a, row) = held();
     let mut b = lease("b");
-    assert!(!b.is_overdue(secs(100)), "nothing is known of a holder");
+    assert!(!b.is_overdue(secs(100)), "no holder has been observed");
     b.observe(Some(&row), secs(4));
     assert!(!b.is_overdue(secs(8)));
     let renewal = a.write(false, secs(3)).unwrap();
@@ -65,11 +65,11 @@
 }
 
 #[test]
-fn takeover_waits_for_unchecked_endpoints() {
+fn takeover_waits_for_endpoints_without_fencing() {
     let (_, row) = held();
     let mut b = lease("b");
     b.observe(Some(&row), secs(4));
-    assert_eq!(b.write(false, secs(14)), None, "the old lease may still run");
+    assert_eq!(b.write(false, secs(14)), None, "the old lease may still be valid");
     let write = b.write(true, secs(5)).unwrap();
     assert_eq!(write.checks, [Check::Revision(b.key().clone(), 1)]);
     b.on_write_result(&Outcome::Done(2), secs(5));
@@ -83,15 +83,15 @@
 }
 
 #[test]
-fn lost_renewal_is_repeated_and_recognised() {
+fn renewal_with_unknown_outcome_is_retried_and_recognized() {
     let (mut a, _) = held();
     let write = a.write(false, secs(4)).unwrap();
     a.on_write_result(&Outcome::Unknown, secs(5));
     assert_eq!(a.write(false, secs(6)).as_ref(), Some(&write));
-    let landed = written(&write, 2);
-    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(landed))), secs(6));
+    let committed = written(&write, 2);
+    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(committed))), secs(6));
     assert_eq!(a.authorize(true, secs(10)), Some(FencingNumber(1)));
-    assert_eq!(a.authorize(true, secs(11)), None, "counted from the first write");
+    assert_eq!(a.authorize(true, secs(11)), None, "the lease starts with the first write");
 }
 
 #[test]
@@ -99,35 +99,35 @@
     let (mut a, row) = held();
     let mut b = lease("b");
     b.observe(Some(&row), secs(1));
-    let theirs = written(&b.write(true, secs(1)).unwrap(), 2);
+    let takeover = written(&b.write(true, secs(1)).unwrap(), 2);
     a.write(false, secs(4)).unwrap();
-    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(theirs))), secs(4));
+    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(takeover))), secs(4));
     assert_eq!(a.authorize(true, secs(4)), None);
 }
 
 #[test]
-fn order_is_repeated_only_after_a_late_report() {
+fn order_is_resent_only_after_a_later_report() {
     let (a, _) = held();
     let mut queue = OrderQueue::new(true);
     queue.enqueue(Target::Role(name("decode")));
     queue.enqueue(Target::Role(name("decode")));
     assert_eq!(queue.len(), 1);
-    assert_eq!(queue.next(&a, secs(1)), None, "not observed yet");
+    assert_eq!(queue.next(&a, secs(1)), None, "no report yet");
     queue.observe(secs(0), |_| false);
     let order = queue.next(&a, secs(1)).unwrap();
     assert_eq!(order.number, FencingNumber(1));
     assert_eq!(queue.next(&a, secs(2)), None);
     queue.observe(secs(60), |_| false);
-    assert_eq!(queue.next(&a, secs(2)), None, "the report may be from before");
+    assert_eq!(queue.next(&a, secs(2)), None, "the report may predate the order");
     queue.observe(secs(1) + MIN_REPEAT, |_| false);
-    assert_eq!(queue.next(&a, secs(8)), None, "the lease has ended");
+    assert_eq!(queue.next(&a, secs(8)), None, "the lease has expired");
     assert!(queue.next(&a, secs(2)).is_some());
     queue.observe(secs(3), |_| true);
     assert!(queue.is_empty());
 }
 
 #[test]
-fn loads_keep_the_stores_rate() {
+fn loads_stay_within_the_rate_of_the_weight_store() {
     let mut pacer = Pacer::new(4, 100);
     let started = (0..100).filter(|second| {
         let starts = pacer.try_start(1_000, secs(*second));
@@ -136,7 +136,7 @@
         }
         starts
     });
-    assert_eq!(started.count(), 11, "10 s each, the last one just begun");
+    assert_eq!(started.count(), 11, "10 s each, the last one has just started");
     let mut pacer = Pacer::new(2, 1_000_000);
     assert_eq!((0..5).filter(|_| pacer.try_start(1, secs(0))).count(), 2);
 }
@@ -145,7 +145,7 @@
     RangeCopies { wanted, live, loading }
 }
 
-/// Names each policy and the ranges that it copies, in order.
+/// Defines one test per policy with the ranges that it copies, in order.
 macro_rules! plans {
     ($($case:ident: $policy:expr => $chosen:expr;)*) => {$(
         #[test]
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn host_spreads_over_domains() {
+fn copies_are_distributed_over_domains() {
     let candidate = |endpoint, domain, domain_copies, free_bytes| Candidate {
         endpoint: name(endpoint),
         domain: name(domain),
--- a/mimosashift/tests/resource.rs
+++ b/mimosashift/tests/resource.rs
@@ -1,4 +1,4 @@
-//! Checks of declared resources.
+//! Validation and lookup of declared resources.
 
 use std::collections::BTreeMap;
 
@@ -6,9 +6,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Names each case of a resource that must be refused, one per line, with the
-/// text that its error must contain.
-macro_rules! refused {
+/// Defines one test per resource that must be rejected, with the text that its
+/// error must contain.
+macro_rules! rejected {
     ($($case:ident: $kind:ident $body:literal => $message:literal;)*) => {$(
         #[test]
         fn $case() {
@@ -18,7 +18,7 @@
     )*};
 }
 
-refused! {
+rejected! {
     route_without_model: Route r#"{"model":"","pipeline":"p"}"# => "\"model\"";
     route_unknown_field: Route r#"{"model":"m","pipeline":"p","x":1}"# => "unknown field `x`";
     team_without_weight: Team r#"{"priority":"p","weight":0}"# => "greater than 0";
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn digest_is_not_repeated_in_error() {
+fn error_does_not_contain_digest() {
     let body = br#"{"priority":"p","token_digests":["secret"]}"#;
     let error = Spec::decode(Kind::Team, body).unwrap_err().to_string();
     assert!(!error.contains("secret"), "{error}");
 }
 
 #[test]
-fn reference_must_exist_and_is_protected() {
+fn reference_must_exist_and_blocks_deletion() {
     let priority = Name::try_from("urgent").unwrap();
     let team = Name::try_from("counter").unwrap();
     let team_spec = Spec::decode(Kind::Team, br#"{"priority":"urgent"}"#).unwrap();
@@ -50,7 +50,8 @@
     assert!(two.check_delete(Kind::Priority, &priority).is_err());
 }
 
-/// Random changes against a plain map: lookups and lists must agree.
+/// Applies random changes to a snapshot and to a plain map; lookups and lists
+/// must agree.
 #[test]
 fn snapshot_agrees_with_a_plain_map() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
--- a/mimosashift/tests/spread.rs
+++ b/mimosashift/tests/spread.rs
@@ -1,4 +1,5 @@
-//! Configuration spreads to every router, under faults of network and table.
+//! Replication of the configuration to every router, under network and table
+//! faults.
 
 mod fake;
 
@@ -14,15 +15,15 @@
 use rand_pcg::Pcg64Mcg;
 use test_case::test_case;
 
-/// Time in which a cluster finds itself and starts to serve.
-const START: Duration = Duration::from_secs(6);
+/// Time for the routers of a cluster to discover each other and start to serve.
+const START_TIME: Duration = Duration::from_secs(6);
 
 #[test_case(12, 3, 1, Duration::from_secs(2); "12 routers in 3 domains")]
 #[test_case(370, 11, 1, Duration::from_secs(7); "370 routers in 11 domains")]
 #[test_case(370, 11, 4, Duration::from_secs(7); "370 routers in 11 domains, another seed")]
 fn change_is_in_force_in_time(routers: usize, domains: usize, seed: u64, limit: Duration) {
     let mut cluster = Cluster::new(routers, domains, seed);
-    cluster.run(START).unwrap();
+    cluster.run(START_TIME).unwrap();
     let mut slowest = Duration::ZERO;
     for id in 1..=10 {
         let through = usize::try_from(id * 7).unwrap() % routers;
@@ -38,8 +39,8 @@
     assert!(cluster.nodes.iter().all(|n| n.serves() && n.alarms.is_empty()));
 }
 
-/// One random event; the table and network may fail in any combination.
-fn disturb(cluster: &mut Cluster, rng: &mut Pcg64Mcg, backups: &mut Vec<fake::Rows>) {
+/// Injects one random fault; table and network faults can combine freely.
+fn inject_fault(cluster: &mut Cluster, rng: &mut Pcg64Mcg, backups: &mut Vec<fake::Rows>) {
     let domains = cluster.net.side.len();
     let domain = rng.random_range(0..domains);
     let router = rng.random_range(0..cluster.nodes.len());
@@ -62,7 +63,7 @@
     }
 }
 
-fn heal(cluster: &mut Cluster) {
+fn clear_faults(cluster: &mut Cluster) {
     cluster.net.side.fill(0);
     cluster.net.table_cut.fill(false);
     cluster.net.drop = 0.0;
@@ -74,29 +75,30 @@
     });
 }
 
-/// Runs a random history; fails when a router goes back, holds what was
-/// never accepted, or does not catch up after the faults have ended.
+/// Runs a random history. Fails if a router rolls back, installs a
+/// configuration that was never accepted, or does not catch up after the faults
+/// have ended.
 fn random_history(seed: u64, install_any: bool) -> Result<u64, String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut cluster = Cluster::new(12, 3, seed);
     cluster.net.duplicate = 0.05;
     cluster.net.delay = 4;
     cluster.install_any = install_any;
-    cluster.run(START)?;
+    cluster.run(START_TIME)?;
     let mut backups = Vec::new();
     for id in 1..=60 {
-        disturb(&mut cluster, &mut rng, &mut backups);
+        inject_fault(&mut cluster, &mut rng, &mut backups);
         let router = rng.random_range(0..cluster.nodes.len());
         let mut wanted = change(id, &format!("p{}", rng.random_range(0..4)), 1);
         if rng.random_bool(0.2) {
             wanted.spec = None;
         }
-        // Refused, lost and unknown changes are part of the history.
+        // A change may fail or have an unknown outcome.
         let _ = cluster.commit(router, wanted);
         let pause = rng.random_range(50..1_500);
         cluster.run(Duration::from_millis(pause))?;
     }
-    heal(&mut cluster);
+    clear_faults(&mut cluster);
     let mut last = change(1_000, "last", 1);
     last.kind = Kind::Priority;
     let revision = (0..40)
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn no_router_ever_goes_back() {
+fn no_router_rolls_back() {
     let mut accepted = 0;
     for seed in 0..40 {
         accepted += random_history(seed, false).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
@@ -121,15 +123,15 @@
 }
 
 #[test]
-fn installing_any_revision_is_noticed() {
+fn installing_any_revision_is_detected() {
     let failed = (0..10).filter(|seed| random_history(*seed, true).is_err()).count();
-    assert!(failed > 0, "the fault was not noticed in any history");
+    assert!(failed > 0, "the fault was not detected in any history");
 }
 
 #[test]
-fn older_table_raises_an_alarm_and_is_not_followed() {
+fn restored_table_raises_an_alarm_and_is_rejected() {
     let mut cluster = Cluster::new(4, 2, 1);
-    cluster.run(START).unwrap();
+    cluster.run(START_TIME).unwrap();
     cluster.commit(0, change(1, "urgent", 1)).unwrap();
     let backup = cluster.table.rows();
     cluster.commit(0, change(2, "urgent", 2)).unwrap();
@@ -145,39 +147,40 @@
 #[test]
 fn router_starts_from_peers_while_the_table_is_down() {
     let mut cluster = Cluster::new(4, 2, 1);
-    cluster.run(START).unwrap();
+    cluster.run(START_TIME).unwrap();
     cluster.commit(0, change(1, "urgent", 1)).unwrap();
     cluster.run_until(1, Duration::from_secs(2)).unwrap();
     cluster.table.with(|inner| inner.down = true);
     cluster.restart(2);
-    cluster.run(START).unwrap();
+    cluster.run(START_TIME).unwrap();
     assert!(cluster.nodes.iter().all(|n| n.serves() && n.version().revision == 1));
 }
 
 #[test]
-fn router_without_any_source_says_so() {
+fn router_without_any_source_reports_the_reason() {
     let mut cluster = Cluster::new(2, 2, 1);
     cluster.table.with(|inner| inner.down = true);
-    cluster.run(START).unwrap();
+    cluster.run(START_TIME).unwrap();
     for node in &cluster.nodes {
         assert_eq!(node.reason(cluster.now), Some(NotServingReason::NoSource));
     }
     cluster.table.with(|inner| inner.down = false);
-    cluster.run(START).unwrap();
+    cluster.run(START_TIME).unwrap();
     assert!(cluster.nodes.iter().all(|node| node.serves()));
 }
 
 #[test]
-fn one_router_of_a_domain_polls() {
+fn one_router_per_domain_polls() {
     let mut cluster = Cluster::new(12, 3, 1);
-    cluster.run(START).unwrap();
+    cluster.run(START_TIME).unwrap();
     let polls = |c: &Cluster| c.nodes.iter().map(|n| n.replicator().polls()).collect::<Vec<_>>();
     let before = polls(&cluster);
     cluster.run(Duration::from_secs(20)).unwrap();
     let polled: Vec<_> = polls(&cluster).iter().zip(&before).map(|(a, b)| a - b).collect();
     let total: u64 = polled.iter().sum();
     eprintln!("12 routers in 3 domains made {total} polls in 20 s: {polled:?}");
-    // Three domains at two polls a second are 120; jitter makes them fewer.
+    // Three domains at two polls per second make 120 polls in 20 s; jitter
+    // lowers the number.
     assert!(total <= 120, "{polled:?}");
     let poller = polled.iter().position(|n| *n > 0).unwrap();
     cluster.nodes[poller].up = false;
@@ -186,9 +189,9 @@
 }
 
 #[test]
-fn long_silence_is_made_up_by_a_snapshot_in_chunks() {
+fn lagging_router_pulls_a_snapshot_in_chunks() {
     let mut cluster = Cluster::new(3, 1, 1);
-    cluster.run(START).unwrap();
+    cluster.run(START_TIME).unwrap();
     for id in 1..=1_500 {
         cluster.commit(0, change(id, &format!("p{id}"), 1)).unwrap();
     }
@@ -202,22 +205,22 @@
 #[test]
 fn starting_router_waits_for_the_highest_revision() {
     let mut cluster = Cluster::new(4, 2, 1);
-    cluster.run(START).unwrap();
+    cluster.run(START_TIME).unwrap();
     cluster.commit(0, change(1, "urgent", 1)).unwrap();
     cluster.run_until(1, Duration::from_secs(2)).unwrap();
     let peers = cluster.nodes[0].membership.peers(cluster.now);
     let node = cluster.nodes[0].membership.own().node.clone();
     let starting = Router::new(node, cluster.now);
-    let later = cluster.now + START;
+    let later = cluster.now + START_TIME;
     let behind = NotServingReason::Behind { installed: 0, wanted: 1 };
     assert_eq!(starting.reason(later, &peers), Some(behind));
     assert!(starting.serve(later, &peers).is_err());
 }
 
 #[test]
-fn watch_resumes_or_is_told_to_list_again() {
+fn watch_resumes_or_must_list_again() {
     let mut cluster = Cluster::new(1, 1, 1);
-    cluster.run(START).unwrap();
+    cluster.run(START_TIME).unwrap();
     for id in 1..=1_500 {
         cluster.commit(0, change(id, "urgent", 1)).unwrap();
     }
