--- a/mimosashift/src/config/change.rs
+++ b/mimosashift/src/config/change.rs
@@ -64,7 +64,7 @@
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Committed {
-    /// Revision that the change made, or would make in a dry run.
+    /// Revision that the change created, or would create in a dry run.
     pub revision: u64,
     /// The records read and committed on top of the initial state, to install
     /// and to push to peers. It ends before `revision` in a dry run and when an
@@ -85,7 +85,7 @@
     read: Progress,
     attempts: u32,
     /// Table revision of the row `head` checked by the last transaction.
-    base: u64,
+    base_head_revision: u64,
     /// Whether an earlier transaction may have taken effect or may still do so.
     in_doubt: bool,
     /// A read of the row `head` at this table revision or higher shows whether
@@ -117,7 +117,7 @@
             phase: Phase::Lookup,
             read: Progress::from(installed),
             attempts: 0,
-            base: 0,
+            base_head_revision: 0,
             in_doubt: false,
             min_head_revision: 0,
             last_other_change: None,
@@ -189,7 +189,7 @@
         self.in_doubt = false;
         self.last_other_change =
             progress.records.into_iter().next_back().or(self.last_other_change.take());
-        self.base = table_revision;
+        self.base_head_revision = table_revision;
         if self.attempts == MAX_ATTEMPTS {
             return Err(self.contended());
         }
@@ -232,7 +232,7 @@
                 // The transaction may still apply until the row `head` has
                 // changed.
                 self.in_doubt = true;
-                self.min_head_revision = self.base + 1;
+                self.min_head_revision = self.base_head_revision + 1;
                 Ok(self.catch_up())
             }
             Outcome::NotDone(Refusal::Conflict(found)) => self.on_conflict(found),
--- a/mimosashift/src/config/store.rs
+++ b/mimosashift/src/config/store.rs
@@ -15,7 +15,7 @@
     log: VecDeque<Record>,
 }
 
-/// A watch asked for a revision outside the log: the client must list the
+/// The revision to watch from is outside the log: the client must list the
 /// resources again and watch from `current`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gone {
--- a/mimosashift/src/order/lease.rs
+++ b/mimosashift/src/order/lease.rs
@@ -66,7 +66,7 @@
     base_revision: Option<u64>,
     number: FencingNumber,
     started_at: Instant,
-    unfenced_from: Instant,
+    exclusive_from: Instant,
     outcome_unknown: bool,
 }
 
@@ -75,7 +75,7 @@
     revision: u64,
     number: FencingNumber,
     started_at: Instant,
-    unfenced_from: Instant,
+    exclusive_from: Instant,
 }
 
 impl Default for Settings {
@@ -126,7 +126,7 @@
     pub fn authorize(&self, endpoint_checks: bool, now: Instant) -> Option<FencingNumber> {
         let held = self.held.as_ref()?;
         let in_time = now < held.started_at + self.settings.send_window();
-        let exclusive = endpoint_checks || now >= held.unfenced_from;
+        let exclusive = endpoint_checks || now >= held.exclusive_from;
         (in_time && exclusive).then_some(held.number)
     }
 
@@ -192,18 +192,18 @@
                 base_revision: Some(held.revision),
                 number: held.number,
                 started_at: now,
-                unfenced_from: held.unfenced_from,
+                exclusive_from: held.exclusive_from,
                 outcome_unknown: false,
             });
         }
         let Some(observed) = &self.observed else {
             let number = FencingNumber(1);
-            let unfenced_from = now;
+            let exclusive_from = now;
             return Some(Pending {
                 base_revision: None,
                 number,
                 started_at: now,
-                unfenced_from,
+                exclusive_from,
                 outcome_unknown: false,
             });
         };
@@ -212,7 +212,7 @@
             base_revision: Some(observed.revision),
             number: FencingNumber(observed.record.number.0 + 1),
             started_at: now,
-            unfenced_from: expires_at,
+            exclusive_from: expires_at,
             outcome_unknown: false,
         })
     }
@@ -234,10 +234,10 @@
     }
 
     fn acquire(&mut self, pending: Pending, revision: u64) {
-        let Pending { number, started_at, unfenced_from, .. } = pending;
+        let Pending { number, started_at, exclusive_from, .. } = pending;
         let record = self.record(number);
         self.observed = Some(Observed { revision, record, at: started_at });
-        self.held = Some(Held { revision, number, started_at, unfenced_from });
+        self.held = Some(Held { revision, number, started_at, exclusive_from });
     }
 
     fn record(&self, number: FencingNumber) -> Record {
--- a/mimosashift/tests/common/rows.rs
+++ b/mimosashift/tests/common/rows.rs
@@ -25,7 +25,7 @@
         }
         self.revision += 1;
         for write in &transaction.writes {
-            let Write::Put(key, value) = write else { panic!("no test deletes rows") };
+            let Write::Put(key, value) = write else { panic!("claim rows are never deleted") };
             let row = Row { key: key.clone(), revision: self.revision, value: value.clone() };
             self.rows.insert(key.clone(), row);
         }
