--- a/mimosafront/src/body.rs
+++ b/mimosafront/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to clients.
+//! Bodies of responses to clients.
 
 use std::fmt;
 use std::pin::Pin;
@@ -7,64 +7,64 @@
 use hyper::body::{Body, Bytes, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// A part of an answer that is sent as it comes.
+/// A part of a streamed response body.
 #[derive(Debug)]
-pub enum Piece {
-    /// Bytes.
+pub enum Chunk {
+    /// Bytes of the body.
     Data(Bytes),
-    /// The answer is whole.
+    /// The body is complete.
     End,
 }
 
-/// The body of an answer.
-pub enum Answer {
-    /// Known whole.
-    Whole(Option<Bytes>),
-    /// Sent as it comes; it is whole only after [`Piece::End`].
-    Pieces(mpsc::Receiver<Piece>),
+/// The body of a response.
+pub enum ResponseBody {
+    /// Fully buffered.
+    Full(Option<Bytes>),
+    /// Forwarded as it is received; complete only after [`Chunk::End`].
+    Stream(mpsc::Receiver<Chunk>),
 }
 
-/// The answer broke off; the connection is closed so that it cannot be taken
-/// for a whole one.
+/// The body ended early; the connection is closed so that the client does not
+/// take it for a complete one.
 #[derive(Clone, Copy, Debug)]
-pub struct BrokenOff;
+pub struct TruncatedBody;
 
-impl fmt::Display for BrokenOff {
+impl fmt::Display for TruncatedBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("response body truncated")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for TruncatedBody {}
 
-impl Body for Answer {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Pieces(pieces) => pieces.poll_recv(cx).map(|piece| match piece {
-                Some(Piece::Data(bytes)) => Some(Ok(Frame::data(bytes))),
-                Some(Piece::End) => None,
-                None => Some(Err(BrokenOff)),
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Stream(chunks) => chunks.poll_recv(cx).map(|chunk| match chunk {
+                Some(Chunk::Data(bytes)) => Some(Ok(Frame::data(bytes))),
+                Some(Chunk::End) => None,
+                None => Some(Err(TruncatedBody)),
             }),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Stream(_) => SizeHint::default(),
         }
     }
 }
--- a/mimosafront/src/clock.rs
+++ b/mimosafront/src/clock.rs
@@ -1,19 +1,21 @@
-//! The clock that decisions are made by.
+//! Monotonic and wall-clock time.
 
 use mimosashift::time::Instant;
 use nix::time::{ClockId, clock_gettime};
 
-/// The time since the machine started, which counts on while it is suspended,
-/// so that nothing is believed for longer than it should be after a pause.
+/// Time since boot, including time spent suspended, so that cached state does
+/// not outlive its validity when the machine was paused.
 pub fn now() -> Instant {
-    let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has this clock");
+    let time =
+        clock_gettime(ClockId::CLOCK_BOOTTIME).expect("CLOCK_BOOTTIME is available on Linux");
     let micros = time.tv_sec() * 1_000_000 + time.tv_nsec() / 1_000;
-    Instant::from_micros(u64::try_from(micros).expect("the clock starts at zero"))
+    Instant::from_micros(u64::try_from(micros).expect("CLOCK_BOOTTIME is not negative"))
 }
 
-/// Unix time in microseconds, to tell one start of a router from another.
+/// Unix time in microseconds; distinguishes successive starts of a router.
 pub fn unix_micros() -> u64 {
-    let time = clock_gettime(ClockId::CLOCK_REALTIME).expect("Linux has this clock");
+    let time =
+        clock_gettime(ClockId::CLOCK_REALTIME).expect("CLOCK_REALTIME is available on Linux");
     let micros = time.tv_sec() * 1_000_000 + time.tv_nsec() / 1_000;
     u64::try_from(micros).unwrap_or_default()
 }
--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration and the endpoints from the store.
+//! Reads the configuration and the endpoint directory from the store.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,199 +13,206 @@
 use mimosashift::time::Instant;
 
 use crate::clock;
-use crate::front::{Front, millis};
+use crate::state::{RouterState, millis};
 
-/// Time between two readings of the configuration: a change is in force well
-/// within the bound of two seconds, also when one reading is lost.
+/// Interval of configuration reads: a change is in force well within the bound
+/// of two seconds, even if one read is lost.
 const CONFIG_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Time between two readings of the endpoints: half of the time within which
-/// an endpoint that leaves must get no new work.
+/// Interval of endpoint reads: half of the time within which an endpoint that
+/// leaves must get no new work.
 const DIRECTORY_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Time between two looks at whether the router that reads the store for this
-/// one has seen the same.
-const FOLLOW_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of the checks whether the peer that reads the store on behalf of
+/// this router has the same state.
+const FOLLOW_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time after which a router reads the store itself, whatever others have
-/// seen: a lost datagram is made good by then.
-const OWN_INTERVAL: Duration = Duration::from_secs(5);
+/// Time after which a router reads the store itself, whatever its peers have
+/// seen: bounds the effect of a lost gossip datagram.
+const DIRECT_READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time before a failed reading is repeated.
+/// Delay before a failed read is repeated.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Least time between two readings that requests ask for.
-const MIN_REFRESH: Duration = Duration::from_millis(100);
+/// Minimum time between two reads that requests trigger.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time without an answer after which the store counts as away.
-const AWAY_AFTER: Duration = Duration::from_millis(1_500);
+/// Time without an answer after which the store counts as unavailable.
+const STORE_OUTAGE_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Time after the store's return in which endpoints register again.
-const LAPSE: Duration = Duration::from_millis(2_200);
+/// Time after the store comes back within which endpoints register again.
+const REREGISTRATION_PERIOD: Duration = Duration::from_millis(2_200);
 
-/// Keeps the configuration up to date.
-pub async fn watch_config(front: Rc<Front>) {
+/// Keeps the configuration up to date until the router exits.
+pub async fn watch_config(state: Rc<RouterState>) {
     let mut revision = None;
-    let mut own = Instant::ZERO;
+    let mut last_direct_read = Instant::ZERO;
     loop {
-        let began = clock::now();
-        if began < own + OWN_INTERVAL && config_is_followed(&front, began) {
+        let started = clock::now();
+        if started < last_direct_read + DIRECT_READ_INTERVAL && is_config_followed(&state, started)
+        {
             tokio::select! {
-                () = tokio::time::sleep(FOLLOW_INTERVAL) => continue,
-                () = front.refresh.notified() => {}
+                () = tokio::time::sleep(FOLLOW_CHECK_INTERVAL) => continue,
+                () = state.config_refresh.notified() => {}
             }
         }
-        own = began;
+        last_direct_read = started;
         let read = match revision {
-            None => match front.store.read(config::TABLE).await {
+            None => match state.store.read(config::TABLE).await {
                 Outcome::Done(rows) => Outcome::Done(Some(rows)),
                 Outcome::NotDone(refusal) => Outcome::NotDone(refusal),
                 Outcome::Unknown => Outcome::Unknown,
             },
-            Some(after) => match front.store.changes(config::TABLE, after).await {
+            Some(after) => match state.store.changes(config::TABLE, after).await {
                 Outcome::Done(Changes::Since(rows)) => Outcome::Done(Some(rows)),
                 Outcome::Done(Changes::Forgotten) => Outcome::Done(None),
                 Outcome::NotDone(refusal) => Outcome::NotDone(refusal),
                 Outcome::Unknown => Outcome::Unknown,
             },
         };
-        note(&front, PlatformCall::Read, &read);
-        let pause = match read {
+        record_store_call(&state, PlatformCall::Read, &read);
+        let interval = match read {
             Outcome::Done(Some(rows)) => {
                 revision = Some(rows.revision);
-                take_config(&front, &rows, began);
+                apply_config(&state, &rows, started);
                 CONFIG_INTERVAL
             }
             Outcome::Done(None) => {
-                // The history was forgotten: read the whole table.
+                // The store has truncated its change history: read the whole
+                // table.
                 revision = None;
                 continue;
             }
             Outcome::NotDone(_) | Outcome::Unknown => RETRY_INTERVAL,
         };
-        tokio::time::sleep(MIN_REFRESH).await;
-        let rest = tokio::time::sleep(pause.saturating_sub(MIN_REFRESH));
+        tokio::time::sleep(MIN_REFRESH_INTERVAL).await;
+        let remaining = tokio::time::sleep(interval.saturating_sub(MIN_REFRESH_INTERVAL));
         tokio::select! {
-            () = rest => {}
-            () = front.refresh.notified() => {}
+            () = remaining => {}
+            () = state.config_refresh.notified() => {}
         }
     }
 }
 
-/// Whether the router that reads the store for this one holds the same
+/// Whether the peer that reads the store on behalf of this router has the same
 /// configuration, so that its digests confirm it.
-fn config_is_followed(front: &Front, now: Instant) -> bool {
-    let peers = front.peers.borrow();
-    let held = peers.reader(&front.node().name, now).and_then(|peer| peer.digest.config);
-    held.is_some_and(|held| held.revision == front.revision())
+fn is_config_followed(state: &RouterState, now: Instant) -> bool {
+    let peers = state.peers.borrow();
+    let followed = peers.reader(&state.node().name, now).and_then(|peer| peer.digest.config);
+    followed.is_some_and(|followed| followed.revision == state.revision())
 }
 
-/// Whether that router has lately seen the same directory.
-fn directory_is_followed(front: &Front, now: Instant) -> bool {
-    let peers = front.peers.borrow();
-    let Some(peer) = peers.reader(&front.node().name, now) else { return false };
+/// Whether that peer has recently read the same directory.
+fn is_directory_followed(state: &RouterState, now: Instant) -> bool {
+    let peers = state.peers.borrow();
+    let Some(peer) = peers.reader(&state.node().name, now) else { return false };
     let Some(seen) = peer.digest.directory else { return false };
     let age = seen.age + now.since(peer.heard);
-    let same = seen.fingerprint == front.fleet.borrow().fingerprint();
-    if same && age < AWAY_AFTER {
-        front.directory_read.set(front.directory_read.get().max(Some(now - age)));
+    let same = seen.fingerprint == state.fleet.borrow().fingerprint();
+    if same && age < STORE_OUTAGE_AFTER {
+        state.last_directory_read.set(state.last_directory_read.get().max(Some(now - age)));
     }
-    same && age < AWAY_AFTER
+    same && age < STORE_OUTAGE_AFTER
 }
 
-fn take_config(front: &Front, rows: &Rows, began: Instant) {
+fn apply_config(state: &RouterState, rows: &Rows, started: Instant) {
     let row = rows.rows.iter().rev().find(|row| row.key.key == config::KEY);
     if let Some(row) = row {
         match config::decode(&row.value) {
-            Ok(deployment) => front.install(deployment, &row.value, "store"),
+            Ok(deployment) => state.install(deployment, &row.value, "store"),
             Err(error) => {
                 let error = error.to_string();
-                emit!(front.log, Event::ConfigUnreadable, "revision" => row.revision, "error" => error);
+                emit!(state.log, Event::ConfigUnreadable, "revision" => row.revision, "error" => error);
                 return;
             }
         }
     }
-    if front.deployment.borrow().is_some() {
-        front.confirm(began);
+    if state.deployment.borrow().is_some() {
+        state.confirm(started);
     }
 }
 
-/// Keeps the endpoints up to date.
-pub async fn watch_endpoints(front: Rc<Front>) {
-    let mut away_since: Option<Instant> = None;
-    let mut lapsed_until = Instant::ZERO;
-    let mut unreadable = HashMap::new();
-    let mut own = Instant::ZERO;
+/// Keeps the endpoint directory up to date until the router exits.
+pub async fn watch_endpoints(state: Rc<RouterState>) {
+    let mut unavailable_since: Option<Instant> = None;
+    let mut reregistration_until = Instant::ZERO;
+    let mut logged_invalid = HashMap::new();
+    let mut last_direct_read = Instant::ZERO;
     loop {
-        let began = clock::now();
-        if began < own + OWN_INTERVAL && directory_is_followed(&front, began) {
-            tokio::time::sleep(FOLLOW_INTERVAL).await;
+        let started = clock::now();
+        if started < last_direct_read + DIRECT_READ_INTERVAL
+            && is_directory_followed(&state, started)
+        {
+            tokio::time::sleep(FOLLOW_CHECK_INTERVAL).await;
             continue;
         }
-        own = began;
-        let read = front.store.read(endpoint::TABLE).await;
-        note(&front, PlatformCall::Scan, &read);
-        let pause = match read {
+        last_direct_read = started;
+        let read = state.store.read(endpoint::TABLE).await;
+        record_store_call(&state, PlatformCall::Scan, &read);
+        let interval = match read {
             Outcome::Done(rows) => {
                 let now = clock::now();
-                if away_since.take().is_some_and(|since| now.since(since) >= AWAY_AFTER) {
-                    lapsed_until = now + LAPSE;
+                if unavailable_since
+                    .take()
+                    .is_some_and(|since| now.since(since) >= STORE_OUTAGE_AFTER)
+                {
+                    reregistration_until = now + REREGISTRATION_PERIOD;
                 }
-                take_endpoints(&front, &rows.rows, lapsed_until, &mut unreadable);
-                front.directory_read.set(Some(began));
+                apply_endpoints(&state, &rows.rows, reregistration_until, &mut logged_invalid);
+                state.last_directory_read.set(Some(started));
                 DIRECTORY_INTERVAL
             }
             Outcome::NotDone(_) | Outcome::Unknown => {
-                away_since.get_or_insert(front.directory_read.get().unwrap_or(began));
+                unavailable_since.get_or_insert(state.last_directory_read.get().unwrap_or(started));
                 RETRY_INTERVAL
             }
         };
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
-fn take_endpoints(
-    front: &Front,
+fn apply_endpoints(
+    state: &RouterState,
     rows: &[Row],
-    lapsed_until: Instant,
-    unreadable: &mut HashMap<String, u64>,
+    reregistration_until: Instant,
+    logged_invalid: &mut HashMap<String, u64>,
 ) {
     let mut entries = Vec::with_capacity(rows.len());
     for row in rows {
         match endpoint::decode(&row.key.key, &row.value) {
             Ok(entry) => entries.push(entry),
-            // Each version of a wrong entry is logged once.
+            // Each version of an invalid entry is logged once.
             Err(error) => {
-                if unreadable.insert(row.key.key.clone(), row.revision) != Some(row.revision) {
+                if logged_invalid.insert(row.key.key.clone(), row.revision) != Some(row.revision) {
                     let (id, error) = (&row.key.key, error.to_string());
-                    emit!(front.log, Event::EndpointUnreadable, "endpoint" => id, "revision" => row.revision, "error" => error);
+                    emit!(state.log, Event::EndpointUnreadable, "endpoint" => id, "revision" => row.revision, "error" => error);
                 }
             }
         }
     }
-    unreadable.retain(|id, _| rows.iter().any(|row| row.key.key == *id));
-    let change = front.fleet.borrow_mut().observe(entries, lapsed_until, clock::now());
-    let fleet = front.fleet.borrow();
+    logged_invalid.retain(|id, _| rows.iter().any(|row| row.key.key == *id));
+    let change = state.fleet.borrow_mut().observe(entries, reregistration_until, clock::now());
+    let fleet = state.fleet.borrow();
     for id in &change.joined {
         let endpoint = fleet.get(id).map(|member| &member.endpoint);
         let Some(e) = endpoint else { continue };
         let (address, layers) = (e.address.to_string(), e.layers.map(|layers| layers.to_string()));
-        emit!(front.log, Event::EndpointJoined, "endpoint" => &**id, "service" => &*e.service, "zone" => &*e.zone, "address" => address, "incarnation" => e.incarnation, "layers" => layers);
+        emit!(state.log, Event::EndpointJoined, "endpoint" => &**id, "service" => &*e.service, "zone" => &*e.zone, "address" => address, "incarnation" => e.incarnation, "layers" => layers);
     }
     for id in &change.moved {
         let layers = fleet.get(id).and_then(|member| member.endpoint.layers);
-        emit!(front.log, Event::EndpointPlaced, "endpoint" => &**id, "source" => "store", "layers" => layers.map(|layers| layers.to_string()));
+        emit!(state.log, Event::EndpointPlaced, "endpoint" => &**id, "source" => "store", "layers" => layers.map(|layers| layers.to_string()));
     }
     for id in &change.leaving {
-        emit!(front.log, Event::EndpointLeaving, "endpoint" => &**id);
+        emit!(state.log, Event::EndpointLeaving, "endpoint" => &**id);
     }
     for id in &change.gone {
-        emit!(front.log, Event::EndpointGone, "endpoint" => &**id);
+        emit!(state.log, Event::EndpointGone, "endpoint" => &**id);
     }
 }
 
-/// Counts a call to the store and logs when it is lost and regained.
-pub fn note<T>(front: &Front, call: PlatformCall, outcome: &Outcome<T>) {
+/// Counts a call to the store and logs when the store is lost and regained.
+pub fn record_store_call<T>(state: &RouterState, call: PlatformCall, outcome: &Outcome<T>) {
     let now = clock::now();
     let label = match outcome {
         Outcome::Done(_) => CallOutcome::Done,
@@ -215,20 +222,20 @@
         Outcome::NotDone(Refusal::Invalid(_)) => CallOutcome::Invalid,
         Outcome::Unknown => CallOutcome::Unknown,
     };
-    front.meter.table_calls(1, call, label);
+    state.meter.table_calls(1, call, label);
     let answered = matches!(label, CallOutcome::Done | CallOutcome::Conflict);
-    let reached = front.store_reached.get();
+    let last_answer = state.last_store_answer.get();
     if answered {
-        if front.store_lost.replace(false) {
-            let away = reached.map(|at| millis(now.since(at)));
-            emit!(front.log, Event::StoreRegained, "away_ms" => away);
+        if state.store_lost.replace(false) {
+            let outage_ms = last_answer.map(|at| millis(now.since(at)));
+            emit!(state.log, Event::StoreRegained, "away_ms" => outage_ms);
         }
-        front.store_reached.set(Some(now));
-    } else if !front.store_lost.replace(true) {
+        state.last_store_answer.set(Some(now));
+    } else if !state.store_lost.replace(true) {
         let reason = match outcome {
             Outcome::NotDone(refusal) => format!("{refusal:?}"),
             _ => "no answer".to_owned(),
         };
-        emit!(front.log, Event::StoreLost, "reason" => reason);
+        emit!(state.log, Event::StoreLost, "reason" => reason);
     }
 }
--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Sends digests to other routers and takes theirs in.
+//! Exchanges digests with other routers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,190 +14,190 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
-use crate::front::Front;
+use crate::state::RouterState;
 use crate::{clock, probe};
 
-/// Time between two looks at which peers are due.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval of the checks which peers are due a digest.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Largest datagram that is read.
+/// Largest datagram that is accepted.
 const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 
-/// Time to fetch a configuration from a peer.
+/// Time limit for fetching a configuration from a peer.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Least time between two fetches.
-const FETCH_PAUSE: Duration = Duration::from_millis(300);
+/// Minimum time between two fetches.
+const MIN_FETCH_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Largest configuration that is fetched; the store's rows are far smaller.
+/// Largest configuration that is fetched; the rows of the store are far
+/// smaller.
 const MAX_CONFIG_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Age of what was last read from the store from which a peer's configuration
-/// is worth fetching.
-const STORE_STALE: Duration = Duration::from_millis(1_200);
+/// Age of the last store answer above which a configuration is fetched from a
+/// peer.
+const STORE_STALE_AFTER: Duration = Duration::from_millis(1_200);
 
-/// Time for which a change of an endpoint is told to peers.
-const OBSERVED_LIFE: Duration = Duration::from_secs(3);
+/// Time for which a change of an endpoint is gossiped to peers.
+const OBSERVATION_TTL: Duration = Duration::from_secs(3);
 
-/// Exchanges digests for as long as the router runs.
-pub async fn exchange(front: Rc<Front>, socket: UdpSocket) {
+/// Exchanges digests until the router exits.
+pub async fn exchange(state: Rc<RouterState>, socket: UdpSocket) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    let mut tick = tokio::time::interval(TICK);
-    let mut fetched = Instant::ZERO;
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
+    let mut last_fetch = Instant::ZERO;
     loop {
         tokio::select! {
-            _ = tick.tick() => send(&front, &socket).await,
+            _ = tick.tick() => send(&state, &socket).await,
             received = socket.recv_from(&mut buffer) => match received {
-                Ok((length, from)) => hear(&front, &buffer[..length], from, &mut fetched),
+                Ok((length, from)) => receive(&state, &buffer[..length], from, &mut last_fetch),
                 Err(error) => {
-                    // An answer of ICMP to an earlier datagram, for example.
-                    emit!(front.log, Event::MemberUnreachable, "error" => error.to_string());
+                    // For example an ICMP error for an earlier datagram.
+                    emit!(state.log, Event::MemberUnreachable, "error" => error.to_string());
                 }
             }
         }
     }
 }
 
-async fn send(front: &Rc<Front>, socket: &UdpSocket) {
+async fn send(state: &Rc<RouterState>, socket: &UdpSocket) {
     let now = clock::now();
-    let due = front.peers.borrow_mut().due(now);
+    let due = state.peers.borrow_mut().due(now);
     if due.is_empty() {
         return;
     }
-    let mut digest = digest(front, now);
+    let mut digest = digest(state, now);
     digest.limit();
     for (to, echo) in due {
         digest.echo = echo;
         digest.stamp = clock::now();
-        digest.sequence = front.peers.borrow_mut().number();
-        let bytes = postcard::to_stdvec(&digest).expect("a digest always encodes");
-        front.peers.borrow_mut().sent(bytes.len());
-        // A datagram that is not sent is one that is lost: the next one
-        // follows soon.
+        digest.sequence = state.peers.borrow_mut().number();
+        let bytes = postcard::to_stdvec(&digest).expect("digest is serializable");
+        state.peers.borrow_mut().sent(bytes.len());
+        // A failed send equals a lost datagram: the next digest follows soon.
         if socket.send_to(&bytes, to).await.is_ok() {
-            front.meter.heartbeats_sent(1);
+            state.meter.heartbeats_sent(1);
         }
     }
 }
 
-fn digest(front: &Front, now: Instant) -> Digest {
-    front.observed.borrow_mut().retain(|(at, _)| now.since(*at) < OBSERVED_LIFE);
-    let config = front.deployment().map(|deployment| Config {
+fn digest(state: &RouterState, now: Instant) -> Digest {
+    state.observed.borrow_mut().retain(|(at, _)| now.since(*at) < OBSERVATION_TTL);
+    let config = state.deployment().map(|deployment| Config {
         revision: deployment.revision,
-        age: front.currency.get().age(now),
+        age: state.config_freshness.get().age(now),
     });
     Digest {
-        node: front.node().name.clone(),
-        zone: front.node().zone.clone(),
-        incarnation: front.incarnation,
+        node: state.node().name.clone(),
+        zone: state.node().zone.clone(),
+        incarnation: state.incarnation,
         sequence: 0,
         stamp: now,
         echo: None,
-        leaving: front.stopping.get(),
-        leads: front.leads.get(),
+        leaving: state.stopping.get(),
+        leads: state.holds_placement_lease.get(),
         config,
-        store_age: front.store_reached.get().map(|at| now.since(at)),
-        store_lost: front.store_lost.get(),
-        directory: front.directory_read.get().map(|read| Directory {
-            fingerprint: front.fleet.borrow().fingerprint(),
+        store_age: state.last_store_answer.get().map(|at| now.since(at)),
+        store_lost: state.store_lost.get(),
+        directory: state.last_directory_read.get().map(|read| Directory {
+            fingerprint: state.fleet.borrow().fingerprint(),
             age: now.since(read),
         }),
-        usage: front.fleet.borrow().digest(),
-        observed: front
+        usage: state.fleet.borrow().digest(),
+        observed: state
             .observed
             .borrow()
             .iter()
             .map(|(at, observed)| Observed { age: now.since(*at), ..*observed })
             .collect(),
-        dead: front.fleet.borrow().dead().map(Member::name).collect(),
-        peers: front.peers.borrow().share(now),
+        dead: state.fleet.borrow().dead().map(Member::name).collect(),
+        peers: state.peers.borrow().share(now),
     }
 }
 
-fn hear(front: &Rc<Front>, bytes: &[u8], from: SocketAddr, fetched: &mut Instant) {
+fn receive(state: &Rc<RouterState>, bytes: &[u8], from: SocketAddr, last_fetch: &mut Instant) {
     let now = clock::now();
     let Ok(digest) = postcard::from_bytes::<Digest>(bytes) else {
-        emit!(front.log, Event::MemberUnreadable, "from" => from.to_string());
+        emit!(state.log, Event::MemberUnreadable, "from" => from.to_string());
         return;
     };
-    front.meter.heartbeats_received(1);
-    let event = front.peers.borrow_mut().hear(from, digest.clone(), now);
+    state.meter.heartbeats_received(1);
+    let event = state.peers.borrow_mut().hear(from, digest.clone(), now);
     match event {
         mimosashift::peer::Event::Outdated => return,
         mimosashift::peer::Event::Joined => {
-            emit!(front.log, Event::MemberJoined, "node" => &*digest.node, "address" => from.to_string(), "incarnation" => digest.incarnation);
+            emit!(state.log, Event::MemberJoined, "node" => &*digest.node, "address" => from.to_string(), "incarnation" => digest.incarnation);
         }
         mimosashift::peer::Event::Renewed => {}
     }
-    front.fleet.borrow_mut().merge(&digest.node, &digest.usage, now);
-    front.released.notify_one();
+    state.fleet.borrow_mut().merge(&digest.node, &digest.usage, now);
+    state.memory_released.notify_one();
     for seen in &digest.observed {
-        let changed = front.fleet.borrow_mut().relay(seen, now);
+        let changed = state.fleet.borrow_mut().relay(seen, now);
         if let Some(id) = changed {
-            front.log_observed(&id, seen, &digest.node);
+            state.log_observed(&id, seen, &digest.node);
         }
     }
-    verify(front, &digest);
-    take_config(front, &digest, from, now, fetched);
+    probe_reported_dead(state, &digest);
+    apply_config(state, &digest, from, now, last_fetch);
 }
 
-/// Asks the endpoints that a peer found dead, if this router uses them or
+/// Probes the endpoints that a peer reports dead, if this router uses them or
 /// places their layers.
-fn verify(front: &Rc<Front>, digest: &Digest) {
-    if !front.leads.get() && digest.zone != front.node().zone {
+fn probe_reported_dead(state: &Rc<RouterState>, digest: &Digest) {
+    if !state.holds_placement_lease.get() && digest.zone != state.node().zone {
         return;
     }
-    let hops = front.fleet.borrow().named(&digest.dead);
+    let hops = state.fleet.borrow().named(&digest.dead);
     for hop in hops {
-        let front = front.clone();
-        // What it finds is noted with the endpoint.
-        tokio::task::spawn_local(async move { drop(probe::examine(&front, &hop).await) });
+        let state = state.clone();
+        // The result is recorded in the fleet.
+        tokio::task::spawn_local(async move { drop(probe::check_alive(&state, &hop).await) });
     }
 }
 
-/// Takes in what a peer knows of the configuration.
-fn take_config(
-    front: &Rc<Front>,
+/// Applies what a peer knows of the configuration.
+fn apply_config(
+    state: &Rc<RouterState>,
     digest: &Digest,
     from: SocketAddr,
     now: Instant,
-    fetched: &mut Instant,
+    last_fetch: &mut Instant,
 ) {
     if let Some(relayed) = digest.relayed() {
-        let mut currency = front.currency.get();
-        if currency.relay(&relayed, front.revision()) {
-            front.currency.set(currency);
-            front.confirmed.notify_waiters();
+        let mut freshness = state.config_freshness.get();
+        if freshness.relay(&relayed, state.revision()) {
+            state.config_freshness.set(freshness);
+            state.config_confirmed.notify_waiters();
         }
     }
-    let newer = digest.config.is_some_and(|config| config.revision > front.revision());
-    let stale = front.store_reached.get().is_none_or(|at| now.since(at) > STORE_STALE);
-    if newer && stale && now >= *fetched + FETCH_PAUSE {
-        *fetched = now;
-        tokio::task::spawn_local(fetch(front.clone(), from));
+    let newer = digest.config.is_some_and(|config| config.revision > state.revision());
+    let stale = state.last_store_answer.get().is_none_or(|at| now.since(at) > STORE_STALE_AFTER);
+    if newer && stale && now >= *last_fetch + MIN_FETCH_INTERVAL {
+        *last_fetch = now;
+        tokio::task::spawn_local(fetch_config(state.clone(), from));
     }
 }
 
-async fn fetch(front: Rc<Front>, from: SocketAddr) {
+async fn fetch_config(state: Rc<RouterState>, from: SocketAddr) {
     let fetched = tokio::time::timeout(FETCH_TIMEOUT, read_config(from)).await;
     let text = match fetched {
         Ok(Ok(text)) => text,
         Ok(Err(error)) => {
-            emit!(front.log, Event::MemberUnreachable, "peer" => from.to_string(), "error" => error.to_string());
+            emit!(state.log, Event::MemberUnreachable, "peer" => from.to_string(), "error" => error.to_string());
             return;
         }
         Err(_) => {
-            emit!(front.log, Event::MemberUnreachable, "peer" => from.to_string(), "error" => "timed out");
+            emit!(state.log, Event::MemberUnreachable, "peer" => from.to_string(), "error" => "timed out");
             return;
         }
     };
     match config::decode(&text) {
         Ok(deployment) => {
-            emit!(front.log, Event::ConfigFetched, "peer" => from.to_string(), "revision" => deployment.revision);
-            front.install(deployment, &text, "peer");
+            emit!(state.log, Event::ConfigFetched, "peer" => from.to_string(), "revision" => deployment.revision);
+            state.install(deployment, &text, "peer");
         }
         Err(error) => {
-            emit!(front.log, Event::ConfigUnreadable, "peer" => from.to_string(), "error" => error.to_string());
+            emit!(state.log, Event::ConfigUnreadable, "peer" => from.to_string(), "error" => error.to_string());
         }
     }
 }
@@ -206,29 +206,31 @@
     let mut stream = TcpStream::connect(from).await?;
     let length = stream.read_u64().await?;
     if length > MAX_CONFIG_BYTES {
-        return Err(io::Error::other(format!("configuration of {length} bytes")));
+        return Err(io::Error::other(format!(
+            "configuration of {length} bytes exceeds {MAX_CONFIG_BYTES}"
+        )));
     }
     let mut text = String::new();
     stream.take(length).read_to_string(&mut text).await?;
     if text.len() as u64 == length { Ok(text) } else { Err(io::ErrorKind::UnexpectedEof.into()) }
 }
 
-/// Hands the configuration to peers that cannot reach the store.
-pub async fn serve_config(front: Rc<Front>, listener: TcpListener) {
+/// Serves the configuration to peers that cannot reach the store.
+pub async fn serve_config(state: Rc<RouterState>, listener: TcpListener) {
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
             continue;
         };
-        let installed = front.deployment.borrow().clone();
+        let active = state.deployment.borrow().clone();
         tokio::task::spawn_local(async move {
-            let Some(installed) = installed else { return };
+            let Some(active) = active else { return };
             let sent = async {
-                stream.write_u64(installed.text.len() as u64).await?;
-                stream.write_all(installed.text.as_bytes()).await?;
+                stream.write_u64(active.text.len() as u64).await?;
+                stream.write_all(active.text.as_bytes()).await?;
                 stream.shutdown().await
             };
-            // The peer sees a failure as a short answer and asks again.
+            // The peer detects a truncated response and fetches again.
             drop(tokio::time::timeout(FETCH_TIMEOUT, sent).await);
         });
     }
--- a/mimosafront/src/main.rs
+++ b/mimosafront/src/main.rs
@@ -4,29 +4,31 @@
 use std::process::ExitCode;
 
 use mimosafront::flags::Mimosafront;
-use mimosafront::run::{self, Start};
-use mimosafront::settings::File;
+use mimosafront::run::{self, StartOptions};
+use mimosafront::settings::SettingsFile;
 use mimosashift::event;
 use mimosashift::meter::Meter;
 use mimosashift::settings::{Form, Log};
 
-/// Exit code when the router cannot start.
-const EXIT_START: u8 = 1;
+/// Exit code when the router fails to start.
+const EXIT_START_FAILED: u8 = 1;
 
-/// Exit code when the settings are wrong.
+/// Exit code when the settings are invalid.
 const EXIT_USAGE: u8 = 2;
 
-/// Exit code when the grace time ended before every request was answered.
-const EXIT_CUT_OFF: u8 = 3;
+/// Exit code when the shutdown grace period ended with requests still in
+/// flight.
+const EXIT_DRAIN_INCOMPLETE: u8 = 3;
 
-/// Where the metrics are served when no flag says so.
-const METRICS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 9464);
+/// Default listen address of the metrics.
+const DEFAULT_METRICS_ADDRESS: SocketAddr =
+    SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 9464);
 
 fn main() -> ExitCode {
     let flags = Mimosafront::from_env_or_exit();
-    let (file, node) = match File::open(flags.settings) {
-        Ok(opened) => opened,
-        Err(error) => return stop(EXIT_USAGE, &error),
+    let (file, node) = match SettingsFile::open(flags.settings) {
+        Ok(settings) => settings,
+        Err(error) => return exit_with(EXIT_USAGE, &error),
     };
     if flags.check {
         return ExitCode::SUCCESS;
@@ -35,17 +37,17 @@
     let (log, _guard) = event::logger_to(&log, std::io::stdout());
     let meter = match Meter::new() {
         Ok(meter) => meter,
-        Err(error) => return stop(EXIT_START, &error),
+        Err(error) => return exit_with(EXIT_START_FAILED, &error),
     };
-    let metrics = flags.metrics.unwrap_or(METRICS);
-    match run::run(Start { file, node, metrics, log, meter }) {
+    let metrics = flags.metrics.unwrap_or(DEFAULT_METRICS_ADDRESS);
+    match run::run(StartOptions { file, node, metrics, log, meter }) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(EXIT_CUT_OFF),
-        Err(error) => stop(EXIT_START, &error),
+        Ok(_) => ExitCode::from(EXIT_DRAIN_INCOMPLETE),
+        Err(error) => exit_with(EXIT_START_FAILED, &error),
     }
 }
 
-fn stop(code: u8, error: &dyn std::fmt::Display) -> ExitCode {
+fn exit_with(code: u8, error: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("mimosafront: {error}");
     ExitCode::from(code)
 }
--- a/mimosafront/src/metrics.rs
+++ b/mimosafront/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Serves the metrics.
+//! Serves the metrics over HTTP.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -10,30 +10,30 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-use crate::body::Answer;
-use crate::front::Front;
+use crate::body::ResponseBody;
+use crate::state::RouterState;
 
-/// Answers every path with the metrics, for as long as the router runs.
-pub async fn serve(front: Rc<Front>, listener: TcpListener) {
+/// Returns the metrics for every path, until the router exits.
+pub async fn serve(state: Rc<RouterState>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        let front = front.clone();
+        let state = state.clone();
         let service = service_fn(move |_| {
-            let front = front.clone();
-            async move { Ok::<_, Infallible>(answer(&front)) }
+            let state = state.clone();
+            async move { Ok::<_, Infallible>(respond(&state)) }
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-        // Whoever reads the metrics asks again.
+        // A failed scrape is repeated by the scraper.
         tokio::task::spawn_local(async move { drop(connection.await) });
     }
 }
 
-fn answer(front: &Front) -> Response<Answer> {
-    front.meter.running(front.in_flight.get() as u64);
-    match front.meter.render() {
-        Ok(text) => Response::new(Answer::Whole(Some(Bytes::from(text)))),
+fn respond(state: &RouterState) -> Response<ResponseBody> {
+    state.meter.running(state.in_flight.get() as u64);
+    match state.meter.render() {
+        Ok(text) => Response::new(ResponseBody::Full(Some(Bytes::from(text)))),
         Err(error) => {
-            let mut response = Response::new(Answer::Whole(Some(error.to_string().into())));
+            let mut response = Response::new(ResponseBody::Full(Some(error.to_string().into())));
             *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
             response
         }
--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -1,4 +1,4 @@
-//! Orders layers to endpoints while this router holds the lease.
+//! Assigns layers to endpoints while this router holds the placement lease.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -20,219 +20,220 @@
 use mimosashift::time::Instant;
 use tokio::time::timeout;
 
-use crate::directory::note;
-use crate::front::Front;
+use crate::directory::record_store_call;
+use crate::state::RouterState;
 use crate::{clock, probe};
 
-/// Time between two plans.
+/// Interval of planning.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two looks at the lease.
+/// Interval of lease checks.
 const LEASE_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Time that the lease lasts: bounds the time without an orderer when a holder
-/// dies and no peer notices.
+/// Duration of the lease: bounds the time without a leader when a holder dies
+/// and no peer notices.
 const LEASE_DURATION: Duration = Duration::from_secs(8);
 
-/// Time before the lease's end in which nothing is ordered.
+/// Time before the lease expires in which no orders are sent.
 const LEASE_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// Time on top of a heartbeat's interval in which no endpoint has joined before
-/// the first plan, so that it sees all of them: one reading of the directory.
-const SETTLE: Duration = Duration::from_millis(1_000);
+/// Time, on top of a heartbeat interval, without a new endpoint before the
+/// first plan, so that the plan covers all of them: one read of the directory.
+const SETTLE_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// Time after an endpoint that holds layers came into sight before the next
+/// Time after an endpoint that holds layers has reappeared before the next
 /// plan: the others of its zone register within two seconds.
-const RETURN: Duration = Duration::from_millis(2_200);
+const RETURN_PERIOD: Duration = Duration::from_millis(2_200);
 
-/// Time for an order's answer.
+/// Time limit for the answer to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time after an order that was not answered before its endpoint is asked
-/// whether to repeat it; an order may be carried out late, and its number
-/// keeps it from being carried out twice.
-const REPEAT_AFTER: Duration = Duration::from_millis(900);
+/// Time after an unanswered order before its endpoint is asked whether to
+/// repeat it; an order may be executed late, and its sequence number prevents a
+/// second execution.
+const ORDER_REPEAT_DELAY: Duration = Duration::from_millis(900);
 
-/// Time after which an order that shows no effect is given up.
-const GIVE_UP: Duration = Duration::from_secs(30);
+/// Time after which an order without effect is abandoned.
+const ORDER_EXPIRY: Duration = Duration::from_secs(30);
 
-/// An order whose effect has not been seen.
-struct Pending {
+/// An order whose effect has not been observed yet.
+struct PendingOrder {
     incarnation: u64,
     layers: Layers,
-    sent: Instant,
-    first: Instant,
+    last_sent: Instant,
+    first_sent: Instant,
 }
 
-/// The orders of this router.
-struct Orders {
-    front: Rc<Front>,
+/// Plans placement and tracks the orders sent by this router.
+struct Placer {
+    state: Rc<RouterState>,
     lease: Option<Lease>,
-    pending: HashMap<Arc<str>, Pending>,
-    /// Endpoints at the last plan of empty ones, and when they changed.
+    pending: HashMap<Arc<str>, PendingOrder>,
+    /// Number of endpoints at the last plan for empty ones, and when it last
+    /// changed.
     settled: (usize, Instant),
 }
 
-/// Keeps layers placed for as long as the router runs.
-pub async fn keep(front: Rc<Front>) {
-    let lease = lease(&front);
-    let mut orders = Orders { front, lease, pending: HashMap::new(), settled: (0, Instant::ZERO) };
+/// Keeps layers placed until the router exits.
+pub async fn run(state: Rc<RouterState>) {
+    let lease = new_lease(&state);
+    let mut placer = Placer { state, lease, pending: HashMap::new(), settled: (0, Instant::ZERO) };
     let mut lease_at = Instant::ZERO;
     loop {
         tokio::time::sleep(PLAN_INTERVAL).await;
         let now = clock::now();
         if now >= lease_at {
             lease_at = now + LEASE_INTERVAL;
-            orders.renew().await;
+            placer.renew_lease().await;
         }
-        if orders.holds() {
-            orders.examine_dead();
-            orders.watch().await;
-            orders.plan().await;
+        if placer.may_order() {
+            placer.probe_dead();
+            placer.check_pending().await;
+            placer.plan().await;
         }
     }
 }
 
-fn lease(front: &Front) -> Option<Lease> {
+fn new_lease(state: &RouterState) -> Option<Lease> {
     let settings =
         Settings { duration: LEASE_DURATION, margin: LEASE_MARGIN, ..Settings::default() };
-    let group = Name::try_from("placement").expect("the name is valid");
-    match Name::try_from(&*front.node().name) {
-        Ok(holder) => Some(Lease::new(settings, &group, holder, front.incarnation)),
-        // Such a router serves but leaves orders to its peers.
+    let group = Name::try_from("placement").expect("\"placement\" is a valid name");
+    match Name::try_from(&*state.node().name) {
+        Ok(holder) => Some(Lease::new(settings, &group, holder, state.incarnation)),
+        // Such a router serves requests but leaves placement to its peers.
         Err(error) => {
-            emit!(front.log, Event::LeaseLost, "reason" => error.to_string());
+            emit!(state.log, Event::LeaseLost, "reason" => error.to_string());
             None
         }
     }
 }
 
-impl Orders {
-    /// Whether orders may be given now. Endpoints refuse an order whose count
-    /// is not theirs, so a lease that was taken over early is no danger.
-    fn holds(&self) -> bool {
+impl Placer {
+    /// Whether orders may be sent now. Endpoints refuse an order with a wrong
+    /// sequence number, so a lease that was taken over early is harmless.
+    fn may_order(&self) -> bool {
         let authority = self.lease.as_ref().and_then(|l| l.authority(true, clock::now()));
-        authority.is_some() && !self.front.stopping.get() && !self.yields()
+        authority.is_some() && !self.state.stopping.get() && !self.defers_to_peer()
     }
 
-    /// Whether another router is better placed to order: this one does not see
-    /// which endpoints come and go.
-    fn yields(&self) -> bool {
+    /// Whether another router should lead because this one does not see which
+    /// endpoints come and go.
+    fn defers_to_peer(&self) -> bool {
         let now = clock::now();
-        let reached = self.front.store_reached.get();
-        let old = reached.is_none_or(|at| now.since(at) > STORE_LOST);
-        self.front.store_lost.get() && old && self.front.peers.borrow().reaches_store(now)
+        let last_answer = self.state.last_store_answer.get();
+        let is_stale = last_answer.is_none_or(|at| now.since(at) > STORE_LOST);
+        self.state.store_lost.get() && is_stale && self.state.peers.borrow().reaches_store(now)
     }
 
-    async fn renew(&mut self) {
-        let front = self.front.clone();
+    async fn renew_lease(&mut self) {
+        let state = self.state.clone();
         let now = clock::now();
         let held = self.lease.as_ref().is_some_and(|lease| lease.authority(true, now).is_some());
-        let peer_leads = front.peers.borrow().alive(now).any(|peer| peer.digest.leads);
-        if front.stopping.get() || (!held && peer_leads) {
-            self.note_lead(held && !front.stopping.get());
+        let peer_leads = state.peers.borrow().alive(now).any(|peer| peer.digest.leads);
+        if state.stopping.get() || (!held && peer_leads) {
+            self.set_leader(held && !state.stopping.get());
             return;
         }
-        if self.yields() {
-            self.note_lead(false);
+        if self.defers_to_peer() {
+            self.set_leader(false);
             return;
         }
         let Some(lease) = &mut self.lease else { return };
         if !held {
-            let read = front.store.read(TABLE).await;
-            note(&front, PlatformCall::Read, &read);
+            let read = state.store.read(TABLE).await;
+            record_store_call(&state, PlatformCall::Read, &read);
             let Outcome::Done(rows) = read else { return };
             let row = rows.rows.iter().find(|row| row.key == *lease.key());
             lease.observe(row, clock::now());
         }
         let now = clock::now();
-        let idle = lease.holder().is_some_and(|holder| {
-            let peers = front.peers.borrow();
+        let holder_is_inactive = lease.holder().is_some_and(|holder| {
+            let peers = state.peers.borrow();
             peers.is_dead(holder.as_str(), now) || peers.is_without_store(holder.as_str(), now)
         });
-        let suspected = idle || lease.is_overdue(now);
-        if let Some(transaction) = lease.write(suspected, now) {
-            let outcome = front.store.commit(&transaction).await;
-            note(&front, PlatformCall::Commit, &outcome);
+        let takeover = holder_is_inactive || lease.is_overdue(now);
+        if let Some(transaction) = lease.write(takeover, now) {
+            let outcome = state.store.commit(&transaction).await;
+            record_store_call(&state, PlatformCall::Commit, &outcome);
             lease.committed(&outcome, clock::now());
         }
-        let holds = self.holds();
-        self.note_lead(holds);
+        let may_order = self.may_order();
+        self.set_leader(may_order);
     }
 
-    fn note_lead(&mut self, leads: bool) {
-        if self.front.leads.replace(leads) == leads {
+    fn set_leader(&mut self, leads: bool) {
+        if self.state.holds_placement_lease.replace(leads) == leads {
             return;
         }
-        self.front.meter.leases(u64::from(leads));
+        self.state.meter.leases(u64::from(leads));
         if leads {
-            let number = self.lease.as_ref().and_then(|l| l.authority(true, clock::now()));
-            emit!(self.front.log, Event::LeaseTaken, "fencing_token" => number.map(|n| n.0));
+            let token = self.lease.as_ref().and_then(|l| l.authority(true, clock::now()));
+            emit!(self.state.log, Event::LeaseTaken, "fencing_token" => token.map(|n| n.0));
         } else {
-            emit!(self.front.log, Event::LeaseLost, "stopping" => self.front.stopping.get());
-            self.front.meter.lost_leases(1);
+            emit!(self.state.log, Event::LeaseLost, "stopping" => self.state.stopping.get());
+            self.state.meter.lost_leases(1);
             self.pending.clear();
         }
     }
 
-    /// Asks again the endpoints that gave no answer, since layers are placed
-    /// elsewhere only when they stay silent.
-    fn examine_dead(&self) {
+    /// Probes dead endpoints again, since their layers are placed elsewhere
+    /// only while they stay silent.
+    fn probe_dead(&self) {
         let dead: Vec<_> = {
-            let fleet = self.front.fleet.borrow();
+            let fleet = self.state.fleet.borrow();
             fleet.dead().filter_map(Member::hop).collect()
         };
         for hop in dead {
-            let front = self.front.clone();
-            // What it finds is noted with the endpoint.
-            tokio::task::spawn_local(async move { drop(probe::examine(&front, &hop).await) });
+            let state = self.state.clone();
+            // The result is recorded in the fleet.
+            tokio::task::spawn_local(async move { drop(probe::check_alive(&state, &hop).await) });
         }
     }
 
-    /// Looks what became of orders.
-    async fn watch(&mut self) {
+    /// Checks the progress of pending orders.
+    async fn check_pending(&mut self) {
         let now = clock::now();
         let ids: Vec<_> = self.pending.keys().cloned().collect();
         for id in ids {
             let pending = &self.pending[&id];
             let hop = {
-                let fleet = self.front.fleet.borrow();
+                let fleet = self.state.fleet.borrow();
                 let member =
                     fleet.get(&id).filter(|m| m.endpoint.incarnation == pending.incarnation);
-                member.map(|member| target(member, pending.layers))
+                member.map(|member| order_target(member, pending.layers))
             };
-            let Some(hop) = hop.filter(|_| now.since(pending.first) < GIVE_UP) else {
+            let Some(hop) = hop.filter(|_| now.since(pending.first_sent) < ORDER_EXPIRY) else {
                 self.pending.remove(&id);
                 continue;
             };
-            let Ok(report) = probe::report(&self.front, &hop).await else { continue };
-            self.settle(&hop, &report, now).await;
+            let Ok(report) = probe::fetch_report(&self.state, &hop).await else { continue };
+            self.update_pending(&hop, &report, now).await;
         }
     }
 
-    /// Ends an order that took effect; repeats one that did not begin.
-    async fn settle(&mut self, hop: &Hop, report: &Report, now: Instant) {
+    /// Completes an order that took effect; repeats one that did not start.
+    async fn update_pending(&mut self, hop: &Hop, report: &Report, now: Instant) {
         let Some(pending) = self.pending.get_mut(&hop.id) else { return };
         if report.incarnation != pending.incarnation {
             self.pending.remove(&hop.id);
         } else if report.layers == Some(pending.layers) && !report.busy {
-            let ms = crate::front::millis(now.since(pending.first));
-            emit!(self.front.log, Event::OrderObserved, "endpoint" => &*hop.id, "layers" => pending.layers.to_string(), "ms" => ms);
+            let ms = crate::state::millis(now.since(pending.first_sent));
+            emit!(self.state.log, Event::OrderObserved, "endpoint" => &*hop.id, "layers" => pending.layers.to_string(), "ms" => ms);
             self.pending.remove(&hop.id);
-        } else if !report.busy && now.since(pending.sent) > REPEAT_AFTER {
-            pending.sent = now;
-            self.order(hop, report.orders).await;
+        } else if !report.busy && now.since(pending.last_sent) > ORDER_REPEAT_DELAY {
+            pending.last_sent = now;
+            self.send_order(hop, report.orders).await;
         }
     }
 
     async fn plan(&mut self) {
-        let Some(deployment) = self.front.deployment() else { return };
+        let Some(deployment) = self.state.deployment() else { return };
         for service in deployment.services() {
             let Some(engine) = &service.engine else { continue };
             if self.is_returning(&service.name) {
                 continue;
             }
-            let moves = self.moves(&service.name, engine);
+            let moves = self.plan_moves(&service.name, engine);
             if moves.is_empty() {
                 continue;
             }
@@ -240,26 +241,26 @@
                 continue;
             }
             for planned in moves {
-                self.begin(planned).await;
+                self.start_move(planned).await;
             }
         }
     }
 
-    /// Whether endpoints that hold layers have just come into sight, so that
-    /// others are likely to follow.
+    /// Whether endpoints that hold layers have just reappeared, so that others
+    /// are likely to follow.
     fn is_returning(&self, service: &str) -> bool {
         let now = clock::now();
-        let fleet = self.front.fleet.borrow();
+        let fleet = self.state.fleet.borrow();
         let mut of = fleet.members().filter(|m| &*m.endpoint.service == service);
-        of.any(|member| member.returned().is_some_and(|at| now.since(at) < RETURN))
+        of.any(|member| member.returned().is_some_and(|at| now.since(at) < RETURN_PERIOD))
     }
 
-    fn moves(&self, service: &str, engine: &Engine) -> Vec<Move> {
+    fn plan_moves(&self, service: &str, engine: &Engine) -> Vec<Move> {
         let now = clock::now();
-        let fleet = self.front.fleet.borrow();
+        let fleet = self.state.fleet.borrow();
         let members = fleet
             .members()
-            // The layers of a slow or dead endpoint are wanted elsewhere as well.
+            // Layers of slow or dead endpoints are placed elsewhere as well.
             .filter(|m| &*m.endpoint.service == service && m.takes_work() && !m.is_slow())
             .filter(|m| !fleet.is_lost(m, now));
         let place = |member: &Member| {
@@ -279,68 +280,72 @@
     }
 
     fn all_empty(&self, service: &str) -> bool {
-        let fleet = self.front.fleet.borrow();
+        let fleet = self.state.fleet.borrow();
         let mut of = fleet.members().filter(|m| &*m.endpoint.service == service);
         of.all(|member| member.endpoint.layers.is_none())
     }
 
-    /// Whether no endpoint has joined for a while.
+    /// Whether no endpoint has joined recently.
     fn is_settled(&mut self, service: &str) -> bool {
         let now = clock::now();
-        let fleet = self.front.fleet.borrow();
+        let fleet = self.state.fleet.borrow();
         let count = fleet.members().filter(|m| &*m.endpoint.service == service).count();
         if self.settled.0 != count {
             self.settled = (count, now);
         }
-        now.since(self.settled.1) >= self.front.node().heartbeat + SETTLE
+        now.since(self.settled.1) >= self.state.node().heartbeat + SETTLE_PERIOD
     }
 
-    async fn begin(&mut self, planned: Move) {
+    async fn start_move(&mut self, planned: Move) {
         let hop = {
-            let fleet = self.front.fleet.borrow();
-            fleet.get(&planned.id).map(|member| target(member, planned.layers))
+            let fleet = self.state.fleet.borrow();
+            fleet.get(&planned.id).map(|member| order_target(member, planned.layers))
         };
         let Some(hop) = hop else { return };
-        let report = match probe::report(&self.front, &hop).await {
+        let report = match probe::fetch_report(&self.state, &hop).await {
             Ok(report) if report.incarnation == hop.incarnation && !report.busy => report,
-            // The next plan tries again.
+            // The next plan retries.
             Ok(_) | Err(_) => return,
         };
         let now = clock::now();
-        let pending =
-            Pending { incarnation: hop.incarnation, layers: planned.layers, sent: now, first: now };
+        let pending = PendingOrder {
+            incarnation: hop.incarnation,
+            layers: planned.layers,
+            last_sent: now,
+            first_sent: now,
+        };
         self.pending.insert(hop.id.clone(), pending);
-        self.order(&hop, report.orders).await;
+        self.send_order(&hop, report.orders).await;
     }
 
-    async fn order(&mut self, hop: &Hop, after: u64) {
+    async fn send_order(&mut self, hop: &Hop, after: u64) {
         let authority = self.lease.as_ref().and_then(|l| l.authority(true, clock::now()));
-        let Some(number) = authority else { return };
-        let order = Order::Place { layers: hop.layers, after, fencing_token: number.0 };
+        let Some(token) = authority else { return };
+        let order = Order::Place { layers: hop.layers, after, fencing_token: token.0 };
         let call = wire::order_call(hop.address, &hop.id, &order);
-        let front = self.front.clone();
-        front.meter.orders(1);
-        emit!(front.log, Event::OrderSent, "endpoint" => &*hop.id, "layers" => hop.layers.to_string(), "after" => after, "fencing_token" => number.0);
+        let state = self.state.clone();
+        state.meter.orders(1);
+        emit!(state.log, Event::OrderSent, "endpoint" => &*hop.id, "layers" => hop.layers.to_string(), "after" => after, "fencing_token" => token.0);
         let ordering = async {
-            let mut exchange = front.pool.send(hop.address, call, false).await.ok()?;
+            let mut exchange = state.pool.send(hop.address, call, false).await.ok()?;
             let body = exchange.collect(64 * 1024).await.ok()?;
             Some(wire::ordered(exchange.head.status(), &body))
         };
         match timeout(ORDER_TIMEOUT, ordering).await.ok().flatten() {
             Some(Ordered::Taken) => {}
             Some(Ordered::Refused { status, .. }) => {
-                emit!(front.log, Event::OrderRefused, "endpoint" => &*hop.id, "status" => status);
+                emit!(state.log, Event::OrderRefused, "endpoint" => &*hop.id, "status" => status);
                 self.pending.remove(&hop.id);
             }
             Some(Ordered::Unknown) | None => {
-                emit!(front.log, Event::OrderUnknown, "endpoint" => &*hop.id);
+                emit!(state.log, Event::OrderUnknown, "endpoint" => &*hop.id);
             }
         }
     }
 }
 
-/// The endpoint as an order's target.
-fn target(member: &Member, layers: Layers) -> Hop {
+/// The endpoint as the target of an order.
+fn order_target(member: &Member, layers: Layers) -> Hop {
     let endpoint = &member.endpoint;
     Hop {
         id: endpoint.id.clone(),
--- a/mimosafront/src/probe.rs
+++ b/mimosafront/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asks endpoints for their reports.
+//! Requests reports from endpoints and checks whether they are alive.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,99 +15,98 @@
 use tokio::time::{sleep, timeout};
 
 use crate::clock;
-use crate::front::Front;
+use crate::state::RouterState;
 
-/// Time for a report: some round trips between zones and a busy endpoint.
+/// Time limit for a report: some round trips between zones, and a busy
+/// endpoint.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time between two reports of each engine of the own zone.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(3);
+/// Interval at which each engine of the own zone is asked for a report.
+const REPORT_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time for which a kept connection, which may have gone silent, is tried
-/// alone: several times what a report takes.
-const KEPT_HEAD_START: Duration = Duration::from_millis(40);
+/// Time for which only a pooled connection, which may have gone silent, is
+/// tried: several times what a report takes.
+const POOLED_HEAD_START: Duration = Duration::from_millis(40);
 
-/// Time for a new connection and a report over it before an endpoint counts as
-/// dead: a hundred round trips within a zone.
-const FIND_TIMEOUT: Duration = Duration::from_millis(120);
+/// Time limit for a new connection and a report over it, after which an
+/// endpoint counts as dead: a hundred round trips within a zone.
+const FRESH_PROBE_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Time in which an answer that has arrived is read.
-const GRACE: Duration = Duration::from_millis(15);
+/// Extra time for reading a response that has already arrived.
+const LATE_READ_GRACE: Duration = Duration::from_millis(15);
 
-/// Time between two looks for endpoints that fell silent: a fraction of the
-/// usual time between two events.
-const WATCH_INTERVAL: Duration = Duration::from_millis(25);
+/// Interval of the checks for endpoints that have gone silent: a fraction of
+/// the usual time between two events.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Time for which what an endpoint answered holds for all requests that wait
-/// for it.
-const FINDING_LIFE: Duration = Duration::from_millis(400);
+/// Time for which the result of a probe is shared by all requests that need it.
+const PROBE_RESULT_TTL: Duration = Duration::from_millis(400);
 
-/// Largest report that is read.
+/// Largest report that is accepted.
 const MAX_REPORT_BYTES: usize = 256 * 1024;
 
-/// What asking an endpoint found.
+/// Result of a liveness probe.
 #[derive(Clone, Debug)]
-pub enum Finding {
-    /// It answers.
+pub enum ProbeResult {
+    /// The endpoint answered.
     Alive(Report),
-    /// It does not, for this reason.
+    /// The endpoint did not answer, for this reason.
     Dead(String),
 }
 
-/// Findings by endpoint, with the time when it was asked.
-pub type Findings = HashMap<Arc<str>, (Instant, Rc<OnceCell<Finding>>)>;
+/// Probe results by endpoint, with the time when the probe started.
+pub type ProbeResults = HashMap<Arc<str>, (Instant, Rc<OnceCell<ProbeResult>>)>;
 
-/// Asks an endpoint for its report and takes it in.
-pub async fn report(front: &Rc<Front>, hop: &Hop) -> Result<Report, String> {
-    ask(front, hop, false, REPORT_TIMEOUT).await
+/// Requests a report from an endpoint and applies it.
+pub async fn fetch_report(state: &Rc<RouterState>, hop: &Hop) -> Result<Report, String> {
+    request_report(state, hop, false, REPORT_TIMEOUT).await
 }
 
-/// Asks whether an endpoint is alive, once for all requests that want to know
-/// at the same time.
-pub async fn examine(front: &Rc<Front>, hop: &Hop) -> Finding {
+/// Checks whether an endpoint is alive; concurrent callers share one probe.
+pub async fn check_alive(state: &Rc<RouterState>, hop: &Hop) -> ProbeResult {
     let now = clock::now();
-    let cell = {
-        let mut findings = front.findings.borrow_mut();
-        findings.retain(|_, (at, _)| now.since(*at) < FINDING_LIFE);
-        let entry = findings.entry(hop.id.clone());
+    let result = {
+        let mut results = state.probe_results.borrow_mut();
+        results.retain(|_, (at, _)| now.since(*at) < PROBE_RESULT_TTL);
+        let entry = results.entry(hop.id.clone());
         entry.or_insert_with(|| (now, Rc::default())).1.clone()
     };
-    cell.get_or_init(|| find(front, hop)).await.clone()
+    result.get_or_init(|| probe_liveness(state, hop)).await.clone()
 }
 
-/// A kept connection is tried first; soon a new one is tried beside it, and
-/// when neither brings an answer, the endpoint is dead.
-async fn find(front: &Rc<Front>, hop: &Hop) -> Finding {
-    let kept = ask(front, hop, false, REPORT_TIMEOUT);
+/// Tries a pooled connection first and soon a new one beside it; if neither
+/// brings a response, the endpoint is dead.
+async fn probe_liveness(state: &Rc<RouterState>, hop: &Hop) -> ProbeResult {
+    let pooled = request_report(state, hop, false, REPORT_TIMEOUT);
     let fresh = async {
-        sleep(KEPT_HEAD_START).await;
-        ask(front, hop, true, FIND_TIMEOUT).await
+        sleep(POOLED_HEAD_START).await;
+        request_report(state, hop, true, FRESH_PROBE_TIMEOUT).await
     };
-    let (mut kept, mut fresh) = (std::pin::pin!(kept), std::pin::pin!(fresh));
-    let found = tokio::select! {
-        Ok(report) = &mut kept => Ok(report),
-        found = &mut fresh => found,
+    let (mut pooled, mut fresh) = (std::pin::pin!(pooled), std::pin::pin!(fresh));
+    let outcome = tokio::select! {
+        Ok(report) = &mut pooled => Ok(report),
+        outcome = &mut fresh => outcome,
     };
-    match found {
-        Ok(report) => Finding::Alive(report),
+    match outcome {
+        Ok(report) => ProbeResult::Alive(report),
         Err(reason) => {
-            front.pool.forget(hop.address);
-            front.bury(&hop.id, &reason);
-            Finding::Dead(reason)
+            state.pool.forget(hop.address);
+            state.mark_dead(&hop.id, &reason);
+            ProbeResult::Dead(reason)
         }
     }
 }
 
-/// Asks endpoints that fall silent, those that close a connection, and from
-/// time to time those that gave no answer.
-pub async fn watch(front: Rc<Front>) {
+/// Probes endpoints that go silent, those that close a connection, and
+/// periodically those that are marked dead.
+pub async fn watch_liveness(state: Rc<RouterState>) {
     loop {
         let closed = tokio::select! {
-            () = sleep(WATCH_INTERVAL) => Vec::new(),
-            closed = front.pool.closed() => closed,
+            () = sleep(SILENCE_CHECK_INTERVAL) => Vec::new(),
+            closed = state.pool.closed() => closed,
         };
         let hops = {
-            let fleet = front.fleet.borrow();
+            let fleet = state.fleet.borrow();
             let mut hops = fleet.stalled(clock::now());
             hops.extend(fleet.overdue(clock::now()));
             let closed = closed.iter().filter_map(|address| fleet.at(*address));
@@ -115,59 +114,64 @@
             hops
         };
         for hop in hops {
-            let front = front.clone();
-            // What it finds is noted with the endpoint.
-            tokio::task::spawn_local(async move { drop(examine(&front, &hop).await) });
+            let state = state.clone();
+            // The result is recorded in the fleet.
+            tokio::task::spawn_local(async move { drop(check_alive(&state, &hop).await) });
         }
     }
 }
 
-async fn ask(front: &Rc<Front>, hop: &Hop, fresh: bool, time: Duration) -> Result<Report, String> {
+async fn request_report(
+    state: &Rc<RouterState>,
+    hop: &Hop,
+    fresh: bool,
+    time: Duration,
+) -> Result<Report, String> {
     let call = engine::report_call(hop.address);
     let exchange = async {
         let mut exchange =
-            front.pool.send(hop.address, call, fresh).await.map_err(|e| e.to_string())?;
+            state.pool.send(hop.address, call, fresh).await.map_err(|e| e.to_string())?;
         let body = exchange.collect(MAX_REPORT_BYTES).await.map_err(|e| e.to_string())?;
         engine::report(&body).map_err(|e| e.to_string())
     };
     let mut exchange = std::pin::pin!(exchange);
     let report = match timeout(time, &mut exchange).await {
         Ok(report) => report?,
-        // On a router that was held up itself, an answer may lie unread.
-        Err(_) => match timeout(GRACE, &mut exchange).await {
+        // If this router itself was delayed, a response may be waiting unread.
+        Err(_) => match timeout(LATE_READ_GRACE, &mut exchange).await {
             Ok(report) => report?,
             Err(_) => return Err("report timed out".to_owned()),
         },
     };
-    front.take_report(&hop.id, &report);
+    state.apply_report(&hop.id, &report);
     Ok(report)
 }
 
-/// Asks the engines of the own zone for their pace, so that slow ones are
-/// known; routers of one zone share them.
-pub async fn sweep(front: Rc<Front>) {
+/// Polls the engines of the own zone for their speed, so that slow ones are
+/// known; the routers of a zone divide the engines among them.
+pub async fn poll_reports(state: Rc<RouterState>) {
     loop {
-        sleep(SWEEP_INTERVAL).await;
-        for hop in share(&front) {
-            if let Err(reason) = report(&front, &hop).await {
-                // A later request finds out whether it is gone.
-                emit!(front.log, Event::ReportMissing, "endpoint" => &*hop.id, "reason" => reason);
+        sleep(REPORT_POLL_INTERVAL).await;
+        for hop in assigned_engines(&state) {
+            if let Err(reason) = fetch_report(&state, &hop).await {
+                // A later request detects whether the endpoint is gone.
+                emit!(state.log, Event::ReportMissing, "endpoint" => &*hop.id, "reason" => reason);
             }
         }
     }
 }
 
-/// The engines that this router asks.
-fn share(front: &Front) -> Vec<Hop> {
-    let node = front.node();
+/// The engines that this router polls.
+fn assigned_engines(state: &RouterState) -> Vec<Hop> {
+    let node = state.node();
     let now = clock::now();
-    let peers = front.peers.borrow();
-    let near = peers.alive(now).filter(|peer| peer.digest.zone == node.zone);
-    let mut names: Vec<_> = near.map(|peer| peer.digest.node.clone()).collect();
+    let peers = state.peers.borrow();
+    let zone_peers = peers.alive(now).filter(|peer| peer.digest.zone == node.zone);
+    let mut names: Vec<_> = zone_peers.map(|peer| peer.digest.node.clone()).collect();
     names.push(node.name.clone());
     names.sort();
     let rank = names.iter().position(|name| *name == node.name).unwrap_or_default();
-    let fleet = front.fleet.borrow();
+    let fleet = state.fleet.borrow();
     let engines = fleet.members().filter(|m| m.endpoint.zone == node.zone);
     let engines = engines.filter_map(|member| member.hop());
     engines.enumerate().filter(|(i, _)| i % names.len() == rank).map(|(_, hop)| hop).collect()
--- a/mimosafront/src/readiness.rs
+++ b/mimosafront/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the balancer whether this router takes connections.
+//! Readiness endpoint for the load balancer.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -12,54 +12,57 @@
 use mimosashift::event::Event;
 use tokio::net::TcpListener;
 
-use crate::body::Answer;
-use crate::front::Front;
+use crate::body::ResponseBody;
+use crate::state::RouterState;
 
-/// Why the router is not ready; `None` when it is.
-pub fn obstacle(front: &Front) -> Option<&'static str> {
-    if front.stopping.get() {
+/// Reason why the router is not ready; `None` if it is.
+pub fn unready_reason(state: &RouterState) -> Option<&'static str> {
+    if state.stopping.get() {
         return Some("stopping");
     }
-    if front.deployment.borrow().is_none() {
+    if state.deployment.borrow().is_none() {
         return Some("no configuration");
     }
-    if !front.keys_are_current() {
+    if !state.keys_are_current() {
         return Some("configuration not confirmed");
     }
     None
 }
 
-/// Answers for as long as the router runs.
-pub async fn serve(front: Rc<Front>, listener: TcpListener) {
-    let last = Rc::new(Cell::new(None));
+/// Serves readiness checks until the router exits.
+pub async fn serve(state: Rc<RouterState>, listener: TcpListener) {
+    let last_logged = Rc::new(Cell::new(None));
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        let (front, last) = (front.clone(), last.clone());
+        let (state, last_logged) = (state.clone(), last_logged.clone());
         let service = service_fn(move |_| {
-            let (front, last) = (front.clone(), last.clone());
-            async move { Ok::<_, Infallible>(answer(&front, &last)) }
+            let (state, last_logged) = (state.clone(), last_logged.clone());
+            async move { Ok::<_, Infallible>(respond(&state, &last_logged)) }
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-        // The balancer asks again whatever becomes of this connection.
+        // The load balancer repeats the check if this connection fails.
         tokio::task::spawn_local(async move { drop(connection.await) });
     }
 }
 
-fn answer(front: &Front, last: &Cell<Option<Option<&'static str>>>) -> Response<Answer> {
-    let obstacle = obstacle(front);
-    if last.replace(Some(obstacle)) != Some(obstacle) {
-        let (revision, age) = (front.revision(), front.config_age_ms());
-        match obstacle {
+fn respond(
+    state: &RouterState,
+    last_logged: &Cell<Option<Option<&'static str>>>,
+) -> Response<ResponseBody> {
+    let unready_reason = unready_reason(state);
+    if last_logged.replace(Some(unready_reason)) != Some(unready_reason) {
+        let (revision, age) = (state.revision(), state.config_age_ms());
+        match unready_reason {
             None => {
-                emit!(front.log, Event::FrontReady, "revision" => revision, "config_age_ms" => age);
+                emit!(state.log, Event::FrontReady, "revision" => revision, "config_age_ms" => age);
             }
             Some(reason) => {
-                emit!(front.log, Event::FrontNotReady, "reason" => reason, "revision" => revision, "config_age_ms" => age);
+                emit!(state.log, Event::FrontNotReady, "reason" => reason, "revision" => revision, "config_age_ms" => age);
             }
         }
     }
-    let mut response = Response::new(Answer::Whole(None));
-    if obstacle.is_some() {
+    let mut response = Response::new(ResponseBody::Full(None));
+    if unready_reason.is_some() {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
     response
--- a/mimosafront/src/relay/mod.rs
+++ b/mimosafront/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Takes a client's request to an endpoint and the answer back.
+//! Relays a client's request to an endpoint and returns the response.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,37 +14,38 @@
 use mimosashift::deployment::{Denied, Deployment, Route, Service};
 use mimosashift::emit;
 use mimosashift::event::Event;
-use mimosashift::exchange::{Answer as Said, Forward, Tokens};
+use mimosashift::exchange::{Answer as AnswerInfo, Forward, Tokens};
 use mimosashift::fleet::Hop;
 use mimosashift::meter::{Outcome, RefusalReason};
 use mimosashift::time::Instant;
 
-use crate::body::{Answer, BrokenOff};
+use crate::body::{ResponseBody, TruncatedBody};
 use crate::clock;
-use crate::front::{Front, millis};
+use crate::state::{RouterState, millis};
 
 mod model;
 mod plain;
 
-/// When a client is told to come back while the router has no configuration
-/// or cannot use keys: both are looked for several times a second.
-const UNREADY_RETRY: Duration = Duration::from_millis(500);
+/// Retry-After while the router has no configuration or must not accept keys:
+/// both are checked several times a second.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Time to wait for the configuration to be confirmed before a request is
-/// denied or refused for want of it: a few round trips to the store.
-const CONFIRM_WAIT: Duration = Duration::from_millis(150);
+/// Time limit for confirming the configuration before a request is denied or
+/// refused for lack of it: a few round trips to the store.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Age of the configuration up to which a route or key may be called unknown
-/// without another look.
-const DENY_AGE: Duration = Duration::from_millis(250);
+/// without confirming it first.
+const FRESH_CONFIG_AGE: Duration = Duration::from_millis(250);
 
-/// Age up to which it may be called unknown if another look brings nothing:
-/// within the two seconds in which a configuration must take hold.
-const MAX_DENY_AGE: Duration = Duration::from_millis(1_500);
+/// Age of the configuration up to which a route or key may be called unknown if
+/// confirming it fails: within the two seconds in which a configuration must
+/// take effect.
+const MAX_DENIAL_CONFIG_AGE: Duration = Duration::from_millis(1_500);
 
-/// A request that may be sent to an endpoint.
-pub struct Job {
-    front: Rc<Front>,
+/// An accepted request and what is needed to send it to an endpoint.
+pub struct RequestContext {
+    state: Rc<RouterState>,
     id: Arc<str>,
     method: Method,
     uri: Uri,
@@ -57,46 +58,46 @@
     last_event: Option<u64>,
     arrived: Instant,
     deadline: Instant,
-    _in_flight: InFlight,
+    _in_flight_guard: InFlightGuard,
 }
 
-/// Counts a request as in flight until it is dropped.
-struct InFlight(Rc<Front>);
+/// Counts a request as in flight until dropped.
+struct InFlightGuard(Rc<RouterState>);
 
-/// How a request ends that gets no endpoint's answer.
+/// Outcome of a request for which no endpoint's response is returned.
 #[derive(Clone, Debug)]
-pub enum End {
-    /// It is not allowed or not valid.
+pub enum RequestError {
+    /// The request is not allowed or not valid.
     Denied(StatusCode, &'static str),
-    /// It has not run and will not run.
+    /// The request has not been executed and will not be.
     Refused(RefusalReason, &'static str, Duration),
-    /// It may have run.
+    /// The request may have been executed.
     Failed(StatusCode, &'static str),
 }
 
-impl InFlight {
-    fn new(front: &Rc<Front>) -> Self {
-        front.in_flight.set(front.in_flight.get() + 1);
-        Self(front.clone())
+impl InFlightGuard {
+    fn new(state: &Rc<RouterState>) -> Self {
+        state.in_flight.set(state.in_flight.get() + 1);
+        Self(state.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
 }
 
-impl Job {
-    /// Time that is left.
-    fn left(&self) -> Duration {
+impl RequestContext {
+    /// Time until the deadline.
+    fn remaining(&self) -> Duration {
         self.deadline.since(clock::now())
     }
 
-    /// The request as an endpoint gets it.
+    /// The request as sent to an endpoint.
     fn request(&self, hop: &Hop, chain: &[Hop], last_event: Option<u64>) -> Request<Full<Bytes>> {
         let forward = Forward {
-            left: self.left(),
+            left: self.remaining(),
             endpoint: &hop.id,
             team: self.team.as_deref(),
             chain,
@@ -110,95 +111,96 @@
         request
     }
 
-    /// Whether an answer belongs to this request.
-    fn owns(&self, said: &Said, status: StatusCode) -> bool {
-        match &said.id {
+    /// Whether a response belongs to this request.
+    fn is_answered_by(&self, info: &AnswerInfo, status: StatusCode) -> bool {
+        match &info.id {
             Some(id) => **id == *self.id,
             None => !status.is_success(),
         }
     }
 
     fn log_sent(&self, attempt: u32, to: &str, inputs: &str) {
-        let front = &self.front;
+        let state = &self.state;
         emit!(
-            front.log, Event::RequestSent,
+            state.log, Event::RequestSent,
             "request" => &*self.id, "attempt" => attempt, "to" => to, "inputs" => inputs,
-            "route" => &*self.route.name, "left_ms" => millis(self.left()),
-            "revision" => front.revision(), "config_age_ms" => front.config_age_ms(),
-            "directory_age_ms" => front.directory_age_ms(),
+            "route" => &*self.route.name, "left_ms" => millis(self.remaining()),
+            "revision" => state.revision(), "config_age_ms" => state.config_age_ms(),
+            "directory_age_ms" => state.directory_age_ms(),
         );
     }
 
     fn log_answered(&self, status: StatusCode, by: &str) {
         let ms = millis(clock::now().since(self.arrived));
         emit!(
-            self.front.log, Event::RequestAnswered,
+            self.state.log, Event::RequestAnswered,
             "request" => &*self.id, "status" => status.as_u16(), "by" => by, "ms" => ms,
         );
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 pub async fn handle(
-    front: Rc<Front>,
+    state: Rc<RouterState>,
     request: Request<Incoming>,
-) -> Result<Response<Answer>, BrokenOff> {
+) -> Result<Response<ResponseBody>, TruncatedBody> {
     let arrived = clock::now();
-    let chunked = request.headers().contains_key(TRANSFER_ENCODING);
+    let is_chunked = request.headers().contains_key(TRANSFER_ENCODING);
     let id = request.headers().get(header::REQUEST_ID).cloned();
-    let answered = match accept(&front, request, arrived).await {
-        Ok(job) if job.service.engine.is_some() => model::relay(job).await,
-        Ok(job) => plain::relay(job).await,
-        Err(end) => Err(end),
+    let result = match accept(&state, request, arrived).await {
+        Ok(ctx) if ctx.service.engine.is_some() => model::relay(ctx).await,
+        Ok(ctx) => plain::relay(ctx).await,
+        Err(error) => Err(error),
     };
-    let mut response = match answered {
+    let mut response = match result {
         Ok(response) => response,
-        Err(end) => own_answer(&front, id.as_ref(), &end, arrived),
+        Err(error) => error_response(&state, id.as_ref(), &error, arrived),
     };
-    if chunked {
-        // A message with both framings may hide another one behind it; a
-        // connection that has carried chunks is not read on.
+    if is_chunked {
+        // A message with both `Content-Length` and `Transfer-Encoding` may
+        // smuggle in a second request; a connection that has carried a chunked
+        // request is not reused.
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
 }
 
-/// Checks a request against the configuration and reads its body.
+/// Validates a request against the configuration and reads its body.
 async fn accept(
-    front: &Rc<Front>,
+    state: &Rc<RouterState>,
     request: Request<Incoming>,
     arrived: Instant,
-) -> Result<Job, End> {
-    let in_flight = InFlight::new(front);
+) -> Result<RequestContext, RequestError> {
+    let in_flight = InFlightGuard::new(state);
     let (head, body) = request.into_parts();
     let headers = &head.headers;
     if headers.contains_key(CONTENT_LENGTH) && headers.contains_key(TRANSFER_ENCODING) {
-        return Err(End::Denied(StatusCode::BAD_REQUEST, "two framings"));
+        return Err(RequestError::Denied(StatusCode::BAD_REQUEST, "two framings"));
     }
-    let said = header::request(headers)
-        .map_err(|malformed| End::Denied(StatusCode::BAD_REQUEST, malformed.0))?;
+    let info = header::request(headers)
+        .map_err(|malformed| RequestError::Denied(StatusCode::BAD_REQUEST, malformed.0))?;
     let host = host(&head.uri, headers)
-        .ok_or(End::Denied(StatusCode::BAD_REQUEST, "host is missing"))?
+        .ok_or(RequestError::Denied(StatusCode::BAD_REQUEST, "host is missing"))?
         .to_owned();
-    let limit = front.deployment().map_or_else(Default::default, |d| d.limits);
+    let limit = state.deployment().map_or_else(Default::default, |d| d.limits);
     if body.size_hint().lower() > limit.body_bytes as u64 {
-        return Err(End::Denied(StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
+        return Err(RequestError::Denied(StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
     }
     let body = read_body(body, limit.body_bytes, limit.read_timeout).await?;
     let path = head.uri.path();
-    let (deployment, route, team) = find(front, &host, path, said.key.as_deref()).await?;
-    let target = route.target(front.draw());
+    let (deployment, route, team) = resolve_route(state, &host, path, info.key.as_deref()).await?;
+    let target = route.target(state.random_fraction());
     let service = deployment.service(target).cloned();
-    let service = service.ok_or(End::Refused(
+    let service = service.ok_or(RequestError::Refused(
         RefusalReason::NoEndpoint,
         "service is not declared",
-        UNREADY_RETRY,
+        NOT_READY_RETRY_AFTER,
     ))?;
-    front.count_request(&service.name);
-    let wait = said.wait.map_or(route.timeout, |wait| wait.min(route.timeout));
-    Ok(Job {
-        front: front.clone(),
-        id: said.id,
+    state.count_request(&service.name);
+    let wait = info.wait.map_or(route.timeout, |wait| wait.min(route.timeout));
+    Ok(RequestContext {
+        state: state.clone(),
+        id: info.id,
         method: head.method,
         uri: origin_form(&head.uri),
         headers: head.headers,
@@ -206,11 +208,11 @@
         route,
         service,
         team,
-        tokens: said.tokens,
-        last_event: said.last_event,
+        tokens: info.tokens,
+        last_event: info.last_event,
         arrived,
         deadline: arrived + wait,
-        _in_flight: in_flight,
+        _in_flight_guard: in_flight,
     })
 }
 
@@ -218,66 +220,83 @@
     uri.host().or_else(|| headers.get(HOST)?.to_str().ok())
 }
 
-/// Path and query alone, as endpoints expect them.
+/// Path and query only (origin form), as endpoints expect.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(Uri::default, Uri::from)
 }
 
-async fn read_body(body: Incoming, limit: usize, time: Duration) -> Result<Bytes, End> {
+async fn read_body(body: Incoming, limit: usize, time: Duration) -> Result<Bytes, RequestError> {
     let collected = Limited::new(body, limit).collect();
     match tokio::time::timeout(time, collected).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(End::Denied(StatusCode::PAYLOAD_TOO_LARGE, "body too large"))
+            Err(RequestError::Denied(StatusCode::PAYLOAD_TOO_LARGE, "body too large"))
         }
-        Ok(Err(_)) => Err(End::Denied(StatusCode::BAD_REQUEST, "body broke off")),
-        Err(_) => Err(End::Refused(RefusalReason::Invalid, "body too slow", UNREADY_RETRY)),
+        Ok(Err(_)) => Err(RequestError::Denied(StatusCode::BAD_REQUEST, "body broke off")),
+        Err(_) => Err(RequestError::Refused(
+            RefusalReason::Invalid,
+            "body too slow",
+            NOT_READY_RETRY_AFTER,
+        )),
     }
 }
 
-type Found = (Rc<Deployment>, Arc<Route>, Option<String>);
+type ResolvedRoute = (Rc<Deployment>, Arc<Route>, Option<String>);
 
-/// The route and team of a request, by a configuration recent enough to
-/// deny it and to use its key.
-async fn find(front: &Front, host: &str, path: &str, key: Option<&str>) -> Result<Found, End> {
-    let unready = |reason| Err(End::Refused(RefusalReason::NotReady, reason, UNREADY_RETRY));
-    let found = look_up(front, host, path, key);
-    let (found, fresh) = match found {
-        Some(Ok(found)) if found.1.public || front.keys_are_current() => return Ok(found),
-        found => {
-            let fresh = front.currency.get().age(clock::now()).is_some_and(|age| age < DENY_AGE);
-            (found, fresh)
+/// Resolves the route and team of a request against a configuration that is
+/// recent enough to deny the request or accept its key.
+async fn resolve_route(
+    state: &RouterState,
+    host: &str,
+    path: &str,
+    key: Option<&str>,
+) -> Result<ResolvedRoute, RequestError> {
+    let not_ready =
+        |reason| Err(RequestError::Refused(RefusalReason::NotReady, reason, NOT_READY_RETRY_AFTER));
+    let resolved = lookup(state, host, path, key);
+    let (resolved, fresh) = match resolved {
+        Some(Ok(resolved)) if resolved.1.public || state.keys_are_current() => return Ok(resolved),
+        resolved => {
+            let fresh = state
+                .config_freshness
+                .get()
+                .age(clock::now())
+                .is_some_and(|age| age < FRESH_CONFIG_AGE);
+            (resolved, fresh)
         }
     };
-    let found = if fresh {
-        found
+    let resolved = if fresh {
+        resolved
     } else {
-        front.refresh.notify_one();
-        // Without an answer in time, what is known decides.
-        drop(tokio::time::timeout(CONFIRM_WAIT, front.confirmed.notified()).await);
-        let age = front.currency.get().age(clock::now());
-        if age.is_none_or(|age| age > MAX_DENY_AGE) || front.deployment.borrow().is_none() {
-            return unready("configuration not confirmed");
+        state.config_refresh.notify_one();
+        // If this times out, the installed configuration decides.
+        drop(tokio::time::timeout(CONFIRMATION_TIMEOUT, state.config_confirmed.notified()).await);
+        let age = state.config_freshness.get().age(clock::now());
+        if age.is_none_or(|age| age > MAX_DENIAL_CONFIG_AGE) || state.deployment.borrow().is_none()
+        {
+            return not_ready("configuration not confirmed");
         }
-        look_up(front, host, path, key)
+        lookup(state, host, path, key)
     };
-    match found {
-        Some(Ok(found)) if found.1.public || front.keys_are_current() => Ok(found),
-        Some(Ok(_)) => unready("keys not confirmed"),
-        Some(Err(Denied::NoRoute)) => Err(End::Denied(StatusCode::NOT_FOUND, "no route")),
-        Some(Err(Denied::NoKey)) => Err(End::Denied(StatusCode::UNAUTHORIZED, "unknown key")),
-        None => unready("no configuration"),
+    match resolved {
+        Some(Ok(resolved)) if resolved.1.public || state.keys_are_current() => Ok(resolved),
+        Some(Ok(_)) => not_ready("keys not confirmed"),
+        Some(Err(Denied::NoRoute)) => Err(RequestError::Denied(StatusCode::NOT_FOUND, "no route")),
+        Some(Err(Denied::NoKey)) => {
+            Err(RequestError::Denied(StatusCode::UNAUTHORIZED, "unknown key"))
+        }
+        None => not_ready("no configuration"),
     }
 }
 
-fn look_up(
-    front: &Front,
+fn lookup(
+    state: &RouterState,
     host: &str,
     path: &str,
     key: Option<&str>,
-) -> Option<Result<Found, Denied>> {
-    let deployment = front.deployment()?;
+) -> Option<Result<ResolvedRoute, Denied>> {
+    let deployment = state.deployment()?;
     let Some(route) = deployment.route(host, path).cloned() else {
         return Some(Err(Denied::NoRoute));
     };
@@ -291,36 +310,36 @@
     Some(Ok((deployment, route, team)))
 }
 
-/// The router's own answer, without an endpoint's signature.
-fn own_answer(
-    front: &Front,
+/// A response made by the router itself, without an endpoint's signature.
+fn error_response(
+    state: &RouterState,
     id: Option<&HeaderValue>,
-    end: &End,
+    error: &RequestError,
     arrived: Instant,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     let request = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
     let ms = millis(clock::now().since(arrived));
-    let (status, reason, retry) = match end {
-        End::Denied(status, reason) => {
-            front.meter.requests(1, Outcome::Refused);
-            front.meter.refusals(1, RefusalReason::Invalid);
-            emit!(front.log, Event::RequestDenied, "request" => request, "status" => status.as_u16(), "reason" => *reason, "revision" => front.revision(), "config_age_ms" => front.config_age_ms());
+    let (status, reason, retry) = match error {
+        RequestError::Denied(status, reason) => {
+            state.meter.requests(1, Outcome::Refused);
+            state.meter.refusals(1, RefusalReason::Invalid);
+            emit!(state.log, Event::RequestDenied, "request" => request, "status" => status.as_u16(), "reason" => *reason, "revision" => state.revision(), "config_age_ms" => state.config_age_ms());
             (*status, reason, None)
         }
-        End::Refused(kind, reason, retry) => {
-            front.meter.requests(1, Outcome::Refused);
-            front.meter.refusals(1, *kind);
-            emit!(front.log, Event::RequestRefused, "request" => request, "reason" => *reason, "ms" => ms, "retry_after_ms" => millis(*retry), "revision" => front.revision(), "config_age_ms" => front.config_age_ms(), "directory_age_ms" => front.directory_age_ms());
+        RequestError::Refused(kind, reason, retry) => {
+            state.meter.requests(1, Outcome::Refused);
+            state.meter.refusals(1, *kind);
+            emit!(state.log, Event::RequestRefused, "request" => request, "reason" => *reason, "ms" => ms, "retry_after_ms" => millis(*retry), "revision" => state.revision(), "config_age_ms" => state.config_age_ms(), "directory_age_ms" => state.directory_age_ms());
             (StatusCode::SERVICE_UNAVAILABLE, reason, Some(*retry))
         }
-        End::Failed(status, reason) => {
-            front.meter.requests(1, Outcome::Failed);
-            emit!(front.log, Event::RequestGaveUp, "request" => request, "status" => status.as_u16(), "reason" => *reason, "ms" => ms);
+        RequestError::Failed(status, reason) => {
+            state.meter.requests(1, Outcome::Failed);
+            emit!(state.log, Event::RequestGaveUp, "request" => request, "status" => status.as_u16(), "reason" => *reason, "ms" => ms);
             (*status, reason, None)
         }
     };
     let body = format!("{{\"error\":\"{reason}\"}}");
-    let mut response = Response::new(Answer::Whole(Some(body.into())));
+    let mut response = Response::new(ResponseBody::Full(Some(body.into())));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -334,8 +353,8 @@
     response
 }
 
-/// An endpoint's answer, unchanged but for what concerns its connection.
-fn pass_on(head: &Response<()>, body: Answer) -> Response<Answer> {
+/// Forwards an endpoint's response, except for hop-by-hop headers.
+fn forward_response(head: &Response<()>, body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status();
     *response.headers_mut() = header::end_to_end(head.headers());
--- /dev/null
+++ b/mimosafront/src/relay/model/forward.rs
@@ -0,0 +1,257 @@
+//! Forwards the events of a stream, and resumes it after a failure.
+
+use std::time::Duration;
+
+use hyper::StatusCode;
+use hyper::body::Bytes;
+use mimosashift::deployment::Kind;
+use mimosashift::emit;
+use mimosashift::event::Event;
+use mimosashift::link::Exchange;
+use mimosashift::meter::{Outcome, Recovery};
+use tokio::sync::mpsc;
+
+use super::stall::StallCheck;
+use super::stall_timer::{StallTimer, wait_for_fault_or_tick};
+use super::{FIRST_EVENT_STALL, Session};
+use crate::body::Chunk;
+use crate::clock;
+use crate::relay::RequestError;
+use crate::state::millis;
+
+/// Silence of the first hop after which a stream that cannot be resumed is
+/// abandoned: three probes in a row, and half of what clients wait.
+const ABANDON_AFTER: Duration = Duration::from_millis(1_000);
+
+/// Reason for which forwarding stopped.
+enum StreamEnd {
+    /// The stream is complete.
+    Complete,
+    /// The client closed the connection.
+    ClientGone,
+    /// The deadline passed.
+    DeadlineExceeded,
+    /// The stream makes no progress and could not be rerouted.
+    Stalled(&'static str),
+    /// The stream ended prematurely.
+    Broken(&'static str),
+}
+
+impl Session {
+    /// Forwards events until the stream ends, and resumes it after a failure.
+    pub(super) async fn forward_stream(mut self, exchange: Exchange, sender: mpsc::Sender<Chunk>) {
+        let mut exchange = exchange;
+        let mut stall_timer = StallTimer::new(clock::now() + FIRST_EVENT_STALL);
+        loop {
+            let reason = match self.forward_events(&mut exchange, &sender, &mut stall_timer).await {
+                StreamEnd::Complete => {
+                    self.complete_stream(&sender).await;
+                    return;
+                }
+                // The client closed the connection: dropping the exchange
+                // cancels the work.
+                StreamEnd::ClientGone => return,
+                StreamEnd::DeadlineExceeded => "deadline passed",
+                StreamEnd::Stalled(reason) => {
+                    let replaced = self.replace_chain(reason).await;
+                    if replaced.is_some() || !self.is_first_hop_lost() {
+                        // Without a replacement the old stream may still
+                        // continue.
+                        exchange = replaced.unwrap_or(exchange);
+                        stall_timer.checked(clock::now());
+                        continue;
+                    }
+                    reason
+                }
+                StreamEnd::Broken(reason) => {
+                    self.avoid_first_hop();
+                    self.release();
+                    match self.resume(reason).await {
+                        Ok(next) => {
+                            exchange = next;
+                            continue;
+                        }
+                        Err(_) => reason,
+                    }
+                }
+            };
+            self.fail_stream(reason);
+            return;
+        }
+    }
+
+    /// Excludes the endpoint whose stream failed.
+    fn avoid_first_hop(&mut self) {
+        if let Some(claim) = &self.claim {
+            self.avoid.push(claim.chain[0].clone());
+        }
+    }
+
+    /// Opens the rest of a stalled stream at another chain. The old stream is
+    /// kept until that has succeeded, since it may only be slow.
+    async fn replace_chain(&mut self, reason: &str) -> Option<Exchange> {
+        self.avoid_first_hop();
+        if !self.is_resumable() || self.select_chain().is_err() {
+            return None;
+        }
+        let old_claim = self.claim.take();
+        match self.resume(reason).await {
+            Ok(next) => {
+                if let Some(claim) = old_claim {
+                    self.state().fleet.borrow_mut().release(&claim);
+                }
+                Some(next)
+            }
+            Err(_) => {
+                self.release();
+                self.claim = old_claim;
+                None
+            }
+        }
+    }
+
+    /// Whether the first hop has been silent for so long that it will not
+    /// recover in time.
+    fn is_first_hop_lost(&self) -> bool {
+        let fleet = self.state().fleet.borrow();
+        let first = self.claim.as_ref().map(|claim| &claim.chain[0].id);
+        let silence = first.and_then(|id| fleet.dead_for(id, clock::now()));
+        silence.is_some_and(|silence| silence >= ABANDON_AFTER)
+    }
+
+    fn is_resumable(&self) -> bool {
+        self.ctx.route.kind == Kind::Stream { resumable: true }
+    }
+
+    async fn resume(&mut self, reason: &str) -> Result<Exchange, RequestError> {
+        if !self.is_resumable() {
+            return Err(RequestError::Failed(StatusCode::BAD_GATEWAY, "not resumable"));
+        }
+        let demand = self.remaining_demand();
+        let demand = std::mem::replace(&mut self.demand, demand);
+        emit!(self.state().log, Event::StageMoved, "request" => &*self.ctx.id, "reason" => reason, "after_event" => self.events.last());
+        let opened = self.open().await;
+        match opened {
+            Ok(exchange) if exchange.head.status().is_success() => {
+                self.events.restart();
+                self.state().meter.recoveries(1, Recovery::Restarted);
+                Ok(exchange)
+            }
+            Ok(_) => {
+                self.demand = demand;
+                Err(RequestError::Failed(StatusCode::BAD_GATEWAY, "endpoint failed"))
+            }
+            Err(end) => {
+                self.demand = demand;
+                Err(end)
+            }
+        }
+    }
+
+    async fn complete_stream(&mut self, sender: &mpsc::Sender<Chunk>) {
+        let rest = self.events.rest();
+        if !rest.is_empty() {
+            // Bytes after the last event belong to the response as well.
+            drop(sender.send(Chunk::Data(rest.into())).await);
+        }
+        drop(sender.send(Chunk::End).await);
+        self.done = true;
+        self.state().meter.requests(1, Outcome::Completed);
+        let by = self.claim.as_ref().map(|claim| claim.chain[0].id.clone());
+        let by = by.as_deref().unwrap_or_default();
+        let ms = millis(clock::now().since(self.ctx.arrived));
+        emit!(
+            self.state().log, Event::RequestAnswered,
+            "request" => &*self.ctx.id, "status" => StatusCode::OK.as_u16(), "by" => by, "ms" => ms,
+            "events" => self.events_forwarded, "first_ms" => millis(self.timing.time_to_first),
+            "pause_ms" => millis(self.timing.longest_gap), "pause_after_event" => self.timing.longest_gap_after,
+        );
+    }
+
+    fn fail_stream(&mut self, reason: &'static str) {
+        self.done = true;
+        self.state().meter.requests(1, Outcome::Failed);
+        let ms = millis(clock::now().since(self.ctx.arrived));
+        emit!(self.state().log, Event::RequestGaveUp, "request" => &*self.ctx.id, "reason" => reason, "ms" => ms, "events" => self.events_forwarded, "after_event" => self.events.last());
+    }
+
+    /// Forwards events until the stream ends or fails.
+    async fn forward_events(
+        &mut self,
+        exchange: &mut Exchange,
+        sender: &mpsc::Sender<Chunk>,
+        stall_timer: &mut StallTimer,
+    ) -> StreamEnd {
+        let mut last_event_at = clock::now();
+        let state = self.state().clone();
+        loop {
+            let next = tokio::select! {
+                next = exchange.next() => next,
+                () = sender.closed() => return StreamEnd::ClientGone,
+                () = wait_for_fault_or_tick(&state) => {
+                    let now = clock::now();
+                    if now >= self.ctx.deadline {
+                        return StreamEnd::DeadlineExceeded;
+                    }
+                    if stall_timer.is_due(!self.known_faults().is_empty(), now) {
+                        match self.check_stall(last_event_at).await {
+                            StallCheck::Progressing => stall_timer.deferred(now),
+                            StallCheck::Healthy | StallCheck::Rerouted => stall_timer.checked(clock::now()),
+                            StallCheck::Lost(reason) => return StreamEnd::Stalled(reason),
+                        }
+                    }
+                    continue;
+                }
+            };
+            let data = match next {
+                Some(Ok(data)) => data,
+                Some(Err(_)) => return StreamEnd::Broken("stream ended prematurely"),
+                None => return StreamEnd::Complete,
+            };
+            match self.process_bytes(&data) {
+                Err(reason) => return StreamEnd::Broken(reason),
+                Ok(None) => {}
+                Ok(Some(complete)) => {
+                    last_event_at = clock::now();
+                    stall_timer.progressed(last_event_at);
+                    if sender.send(Chunk::Data(complete)).await.is_err() {
+                        return StreamEnd::ClientGone;
+                    }
+                }
+            }
+        }
+    }
+
+    /// Processes bytes of the stream; returns the events that are complete.
+    fn process_bytes(&mut self, data: &Bytes) -> Result<Option<Bytes>, &'static str> {
+        let previous = self.events.last();
+        let complete = self.events.push(data).map_err(|_| "invalid event stream")?;
+        if complete.count == 0 {
+            return Ok(None);
+        }
+        let now = clock::now();
+        let state = self.ctx.state.clone();
+        let mut fleet = state.fleet.borrow_mut();
+        let generated = (self.events_forwarded + complete.count) as f32 * self.engine.stride as f32;
+        let pause = (self.events_forwarded > 0).then(|| now.since(self.timing.last_event_at));
+        if let Some(claim) = &mut self.claim {
+            fleet.progress(&claim.chain, pause, now);
+            fleet.begin(claim);
+            fleet.grow(claim, generated);
+        }
+        if let Some(pause) = pause {
+            if pause > self.timing.longest_gap {
+                self.timing.longest_gap = pause;
+                self.timing.longest_gap_after = previous;
+            }
+            state.meter.inter_token(pause.as_secs_f64());
+        } else {
+            self.timing.time_to_first = now.since(self.ctx.arrived);
+            state.meter.first_token(self.timing.time_to_first.as_secs_f64());
+        }
+        self.timing.last_event_at = now;
+        self.events_forwarded += complete.count;
+        state.meter.tokens(complete.count as u64 * u64::from(self.engine.stride));
+        Ok(Some(complete.bytes.into()))
+    }
+}
--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -1,4 +1,5 @@
-//! Streams from a model: admission, the choice of a chain and its answer.
+//! Relays requests to model engines: admission, choice of a chain, and its
+//! response.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,75 +20,76 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use self::look::{Faulty, Look};
-use self::watch::{Watch, idle};
-use super::{End, Job, pass_on};
-use crate::body::Answer;
+use self::stall::{FaultyHops, StallCheck};
+use self::stall_timer::{StallTimer, wait_for_fault_or_tick};
+use super::{RequestContext, RequestError, forward_response};
+use crate::body::ResponseBody;
 use crate::clock;
-use crate::front::{Front, millis};
 use crate::probe;
+use crate::state::{RouterState, millis};
 
-mod look;
-mod pump;
-mod watch;
+mod forward;
+mod stall;
+mod stall_timer;
 
-/// Pieces that may wait for a slow client before its stream is held back.
-const PIECES: usize = 32;
+/// Number of chunks buffered for a slow client before its stream is held back.
+const BUFFERED_CHUNKS: usize = 32;
 
-/// Time without a first event after which the chain is examined: several
-/// times what reading a prompt takes when nothing fails.
-const FIRST_STALL: Duration = Duration::from_millis(500);
+/// Time without a first event after which the chain is checked: several times
+/// what prefill takes without faults.
+const FIRST_EVENT_STALL: Duration = Duration::from_millis(500);
 
-/// Sends that certainly did not run, beyond the route's attempts.
-const MAX_REJECTED: u32 = 4;
+/// Number of sends beyond the attempts of the route that were certainly not
+/// executed.
+const MAX_REJECTED_SENDS: u32 = 4;
 
-/// Largest answer that is no stream.
+/// Largest response that is not a stream.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// When a client is told to come back if no memory is free: streams end all
-/// the time, a few in each of these intervals.
-const FULL_RETRY: Duration = Duration::from_millis(300);
+/// Retry-After if no memory is free: in each such interval a few streams end
+/// and free some.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// When a client is told to come back if a layer has no endpoint: small
-/// ranges of layers load in about a second.
-const UNCOVERED_RETRY: Duration = Duration::from_millis(700);
+/// Retry-After if a layer has no endpoint: small ranges of layers load in about
+/// a second.
+const UNCOVERED_RETRY_AFTER: Duration = Duration::from_millis(700);
 
-/// A stream and what has become of it so far.
+/// A stream and its progress.
 struct Session {
-    job: Job,
+    ctx: RequestContext,
     engine: Arc<Engine>,
     demand: Demand,
     claim: Option<Claim>,
     events: Events,
-    /// Events passed on.
-    passed: usize,
-    /// When they came.
-    pauses: Pauses,
-    /// Sends that may have run.
+    /// Number of events forwarded.
+    events_forwarded: usize,
+    /// Timing of these events.
+    timing: EventTiming,
+    /// Number of sends that may have been executed.
     may_have_run: u32,
-    /// Sends that certainly did not.
+    /// Number of sends that were certainly not executed.
     rejected: u32,
     avoid: SmallVec<[Hop; 4]>,
     done: bool,
 }
 
-/// What made a stream late, for its log line.
+/// Timing of the events of a stream, for its log line.
 #[derive(Default)]
-struct Pauses {
+struct EventTiming {
     /// Time to the first event.
-    first: Duration,
-    /// When the last event came.
-    last: Instant,
+    time_to_first: Duration,
+    /// When the last event was received.
+    last_event_at: Instant,
     /// Longest time between two events.
-    longest: Duration,
-    /// The event after which that came.
-    after: Option<u64>,
+    longest_gap: Duration,
+    /// Last event before that gap.
+    longest_gap_after: Option<u64>,
 }
 
-/// Counts a request as waiting until it is dropped.
-struct Waiting<'a>(&'a Front);
+/// Counts a request as waiting until dropped.
+struct WaitingGuard<'a>(&'a RouterState);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.pressure.borrow_mut().leave();
     }
@@ -97,18 +99,18 @@
     fn drop(&mut self) {
         self.release();
         if !self.done {
-            let front = &self.job.front;
-            front.meter.requests(1, Outcome::Cancelled);
-            let ms = millis(clock::now().since(self.job.arrived));
-            emit!(front.log, Event::RequestCutShort, "request" => &*self.job.id, "ms" => ms, "events" => self.passed);
+            let state = &self.ctx.state;
+            state.meter.requests(1, Outcome::Cancelled);
+            let ms = millis(clock::now().since(self.ctx.arrived));
+            emit!(state.log, Event::RequestCutShort, "request" => &*self.ctx.id, "ms" => ms, "events" => self.events_forwarded);
         }
     }
 }
 
-/// Relays a request to a chain and its stream back.
-pub async fn relay(job: Job) -> Result<Response<Answer>, End> {
-    let engine = job.service.engine.clone().expect("only engines' requests come here");
-    let mut session = Session::new(job, engine);
+/// Relays a request to a chain and streams its response back.
+pub async fn relay(ctx: RequestContext) -> Result<Response<ResponseBody>, RequestError> {
+    let engine = ctx.service.engine.clone().expect("service has an engine");
+    let mut session = Session::new(ctx, engine);
     let mut exchange = match session.open().await {
         Ok(exchange) => exchange,
         Err(end) => {
@@ -118,19 +120,19 @@
     };
     if !exchange.head.status().is_success() {
         session.done = true;
-        return session.pass_failure(exchange).await;
+        return session.forward_failure(exchange).await;
     }
-    let (sender, pieces) = mpsc::channel(PIECES);
-    let response = pass_on(&exchange.head, Answer::Pieces(pieces));
+    let (sender, chunks) = mpsc::channel(BUFFERED_CHUNKS);
+    let response = forward_response(&exchange.head, ResponseBody::Stream(chunks));
     exchange.head.headers_mut().clear();
-    tokio::task::spawn_local(session.pump(exchange, sender));
+    tokio::task::spawn_local(session.forward_stream(exchange, sender));
     Ok(response)
 }
 
 impl Session {
-    fn new(job: Job, engine: Arc<Engine>) -> Self {
+    fn new(ctx: RequestContext, engine: Arc<Engine>) -> Self {
         let usual = engine.usual;
-        let demand = match job.tokens {
+        let demand = match ctx.tokens {
             None => Demand { prompt: usual.prompt, output: usual.output },
             Some(tokens) => {
                 let hint = tokens.output_hint.map_or(usual.output, f64::from);
@@ -138,15 +140,15 @@
                 Demand { prompt: f64::from(tokens.prompt), output }
             }
         };
-        let events = Events::after(job.last_event);
+        let events = Events::after(ctx.last_event);
         Self {
-            job,
+            ctx,
             engine,
             demand,
             claim: None,
             events,
-            passed: 0,
-            pauses: Pauses::default(),
+            events_forwarded: 0,
+            timing: EventTiming::default(),
             may_have_run: 0,
             rejected: 0,
             avoid: SmallVec::new(),
@@ -154,117 +156,135 @@
         }
     }
 
-    fn front(&self) -> &Rc<Front> {
-        &self.job.front
+    fn state(&self) -> &Rc<RouterState> {
+        &self.ctx.state
     }
 
     fn release(&mut self) {
         if let Some(claim) = self.claim.take() {
-            self.front().fleet.borrow_mut().release(&claim);
-            self.front().released.notify_one();
+            self.state().fleet.borrow_mut().release(&claim);
+            self.state().memory_released.notify_one();
         }
     }
 
-    /// Opens a stream at one chain after another until one answers.
-    async fn open(&mut self) -> Result<Exchange, End> {
-        let mut why = "no chain left";
+    /// Tries one chain after another until one opens a stream.
+    async fn open(&mut self) -> Result<Exchange, RequestError> {
+        let mut cause = "no chain left";
         loop {
-            if self.job.left().is_zero() {
-                return Err(self.end(StatusCode::GATEWAY_TIMEOUT, "deadline passed", FULL_RETRY));
+            if self.ctx.remaining().is_zero() {
+                return Err(self.unanswered_error(
+                    StatusCode::GATEWAY_TIMEOUT,
+                    "deadline passed",
+                    FULL_RETRY_AFTER,
+                ));
             }
             let sends = self.may_have_run + self.rejected;
             if sends > 0 {
-                let used_up = self.may_have_run > 0 && !self.job.route.is_idempotent();
-                let attempts = self.may_have_run >= self.job.route.attempts;
-                if used_up || attempts || self.rejected > MAX_REJECTED || !self.take_retry(why) {
-                    return Err(self.end(StatusCode::BAD_GATEWAY, why, UNCOVERED_RETRY));
+                let is_exhausted = self.may_have_run > 0 && !self.ctx.route.is_idempotent();
+                let attempts = self.may_have_run >= self.ctx.route.attempts;
+                if is_exhausted
+                    || attempts
+                    || self.rejected > MAX_REJECTED_SENDS
+                    || !self.take_retry(cause)
+                {
+                    return Err(self.unanswered_error(
+                        StatusCode::BAD_GATEWAY,
+                        cause,
+                        UNCOVERED_RETRY_AFTER,
+                    ));
                 }
             }
             let chain = self.admit().await?;
             match self.send(chain, sends + 1).await {
                 Ok(exchange) => return Ok(exchange),
-                Err(reason) => why = reason,
+                Err(reason) => cause = reason,
             }
             self.release();
         }
     }
 
-    fn take_retry(&self, why: &str) -> bool {
-        let taken = self.front().take_retry(&self.job.service.name);
+    fn take_retry(&self, cause: &str) -> bool {
+        let taken = self.state().take_retry(&self.ctx.service.name);
         if taken {
-            let (request, last) = (&*self.job.id, self.events.last());
-            emit!(self.front().log, Event::RequestRetried, "request" => request, "attempt" => self.may_have_run + self.rejected + 1, "reason" => why, "after_event" => last);
+            let (request, last) = (&*self.ctx.id, self.events.last());
+            emit!(self.state().log, Event::RequestRetried, "request" => request, "attempt" => self.may_have_run + self.rejected + 1, "reason" => cause, "after_event" => last);
         }
         taken
     }
 
-    /// The end of a request that gets no answer.
-    fn end(&self, status: StatusCode, reason: &'static str, retry: Duration) -> End {
+    /// The error for a request that gets no response.
+    fn unanswered_error(
+        &self,
+        status: StatusCode,
+        reason: &'static str,
+        retry: Duration,
+    ) -> RequestError {
         if self.may_have_run > 0 {
-            return End::Failed(status, reason);
+            return RequestError::Failed(status, reason);
         }
-        End::Refused(RefusalReason::NoEndpoint, reason, retry)
+        RequestError::Refused(RefusalReason::NoEndpoint, reason, retry)
     }
 
-    /// The chain for the request, once there is memory for it.
-    async fn admit(&self) -> Result<Chain, End> {
-        let front = self.front();
+    /// Selects a chain for the request once there is memory for it.
+    async fn admit(&self) -> Result<Chain, RequestError> {
+        let state = self.state();
         let now = clock::now();
         let mut shortage = None;
-        if front.pressure.borrow().waiting() == 0 {
-            match self.choose() {
-                Ok(chain) => return Ok(self.admitted(chain)),
+        if state.pressure.borrow().waiting() == 0 {
+            match self.select_chain() {
+                Ok(chain) => return Ok(self.record_admission(chain)),
                 Err(Shortage::Full(_)) => {}
                 Err(uncovered) => shortage = Some(uncovered),
             }
         }
-        if shortage.is_none() && front.pressure.borrow_mut().enter(now) {
-            let _waiting = Waiting(front);
-            match self.wait(now + MAX_WAIT).await {
-                Ok(chain) => return Ok(self.admitted(chain)),
+        if shortage.is_none() && state.pressure.borrow_mut().enter(now) {
+            let _waiting_guard = WaitingGuard(state);
+            match self.wait_for_memory(now + MAX_WAIT).await {
+                Ok(chain) => return Ok(self.record_admission(chain)),
                 Err(found) => shortage = Some(found),
             }
         }
-        Err(self.shortage(&shortage.unwrap_or(Shortage::Full(0))))
+        Err(self.shortage_error(&shortage.unwrap_or(Shortage::Full(0))))
     }
 
-    async fn wait(&self, until: Instant) -> Result<Chain, Shortage> {
+    async fn wait_for_memory(&self, until: Instant) -> Result<Chain, Shortage> {
         loop {
-            let released = self.front().released.notified();
-            let shortage = match self.choose() {
+            let released = self.state().memory_released.notified();
+            let shortage = match self.select_chain() {
                 Ok(chain) => return Ok(chain),
                 Err(shortage) => shortage,
             };
-            let left = until.min(self.job.deadline).since(clock::now());
+            let left = until.min(self.ctx.deadline).since(clock::now());
             if matches!(shortage, Shortage::Uncovered(_)) || left.is_zero() {
                 return Err(shortage);
             }
-            // Whether memory was released or the time passed shows above.
+            // The next iteration checks whether memory was released or time ran
+            // out.
             drop(timeout(left, released).await);
         }
     }
 
-    fn admitted(&self, chain: Chain) -> Chain {
-        let front = self.front();
-        front.pressure.borrow_mut().admitted(clock::now());
-        // There may be room for the next one as well.
-        front.released.notify_one();
+    fn record_admission(&self, chain: Chain) -> Chain {
+        let state = self.state();
+        state.pressure.borrow_mut().admitted(clock::now());
+        // There may be memory for the next waiting request as well.
+        state.memory_released.notify_one();
         chain
     }
 
-    fn choose(&self) -> Result<Chain, Shortage> {
-        self.chain(&self.demand, None, &self.avoid)
+    fn select_chain(&self) -> Result<Chain, Shortage> {
+        self.find_chain(&self.demand, None, &self.avoid)
     }
 
-    fn chain(
+    fn find_chain(
         &self,
         demand: &Demand,
         first: Option<&Hop>,
         avoid: &[Hop],
     ) -> Result<Chain, Shortage> {
-        let zone = self.front().node().zone.clone();
+        let zone = self.state().node().zone.clone();
         let query = self.query(&zone, demand, first, avoid);
-        self.front().fleet.borrow().chain(&query, clock::now())
+        self.state().fleet.borrow().chain(&query, clock::now())
     }
 
     fn query<'a>(
@@ -274,57 +294,57 @@
         first: Option<&'a Hop>,
         avoid: &'a [Hop],
     ) -> Query<'a> {
-        let service = &self.job.service.name;
+        let service = &self.ctx.service.name;
         Query { service, engine: &self.engine, zone, demand, first, avoid }
     }
 
-    fn log_short(&self, shortage: &Shortage) {
-        let zone = self.front().node().zone.clone();
+    fn log_shortage(&self, shortage: &Shortage) {
+        let zone = self.state().node().zone.clone();
         let query = self.query(&zone, &self.demand, None, &self.avoid);
         let layer = shortage.layer();
-        let holders = self.front().fleet.borrow().holders(&query, layer, clock::now());
-        let waiting = self.front().pressure.borrow().waiting();
-        emit!(self.front().log, Event::LayerShort, "request" => &*self.job.id, "layer" => layer, "holders" => holders, "waiting" => waiting);
+        let holders = self.state().fleet.borrow().holders(&query, layer, clock::now());
+        let waiting = self.state().pressure.borrow().waiting();
+        emit!(self.state().log, Event::LayerShort, "request" => &*self.ctx.id, "layer" => layer, "holders" => holders, "waiting" => waiting);
     }
 
-    fn shortage(&self, shortage: &Shortage) -> End {
-        self.log_short(shortage);
-        let mut pressure = self.front().pressure.borrow_mut();
+    fn shortage_error(&self, shortage: &Shortage) -> RequestError {
+        self.log_shortage(shortage);
+        let mut pressure = self.state().pressure.borrow_mut();
         pressure.refused(clock::now());
-        let later = pressure.retry_after(self.front().draw());
+        let retry_after = pressure.retry_after(self.state().random_fraction());
         let (kind, reason) = match shortage {
             Shortage::Full(_) => (RefusalReason::Shed, "no memory free"),
             Shortage::Uncovered(_) => (RefusalReason::NoEndpoint, "layers without an endpoint"),
         };
         if self.may_have_run > 0 {
-            return End::Failed(StatusCode::BAD_GATEWAY, reason);
+            return RequestError::Failed(StatusCode::BAD_GATEWAY, reason);
         }
-        End::Refused(kind, reason, later)
+        RequestError::Refused(kind, reason, retry_after)
     }
 
-    /// Sends the request to a chain; an answer that is no stream of its own is
-    /// an error that says why.
+    /// Sends the request to a chain; returns the reason if the response is not
+    /// the stream of this request.
     async fn send(&mut self, chain: Chain, attempt: u32) -> Result<Exchange, &'static str> {
         let to: Vec<_> = chain.iter().map(|hop| format!("{}:{}", hop.id, hop.layers)).collect();
         let Demand { prompt, output } = self.demand;
-        self.job.log_sent(attempt, &to.join(","), &format!("prompt={prompt} output={output}"));
+        self.ctx.log_sent(attempt, &to.join(","), &format!("prompt={prompt} output={output}"));
         let first = chain[0].clone();
-        let request = self.job.request(&first, &chain, self.events.last());
-        let claim = self.front().fleet.borrow_mut().claim(chain, &self.demand);
+        let request = self.ctx.request(&first, &chain, self.events.last());
+        let claim = self.state().fleet.borrow_mut().claim(chain, &self.demand);
         self.claim = Some(claim);
-        let pool = self.front().pool.clone();
+        let pool = self.state().pool.clone();
         let sending = pool.send(first.address, request, false);
-        match self.head(sending).await {
-            Ok(exchange) => self.judge(&first, exchange),
+        match self.wait_for_head(sending).await {
+            Ok(exchange) => self.check_response(&first, exchange),
             Err(Some(Failure::NotSent { reason, .. })) => {
-                self.front().doubt(&first.id, &reason);
+                self.state().mark_suspect(&first.id, &reason);
                 self.avoid.push(first);
                 self.rejected += 1;
                 Err("not sent")
             }
             Err(Some(Failure::Lost { reason })) => {
-                self.front().doubt(&first.id, &reason);
-                self.front().pool.forget(first.address);
+                self.state().mark_suspect(&first.id, &reason);
+                self.state().pool.forget(first.address);
                 self.avoid.push(first);
                 self.may_have_run += 1;
                 Err("answer lost")
@@ -336,39 +356,39 @@
         }
     }
 
-    /// Waits for the head of an answer and looks after the chain meanwhile;
-    /// `Err(None)` when the request must be sent anew.
-    async fn head(
+    /// Waits for the response head and checks the chain meanwhile; `Err(None)`
+    /// if the request must be sent again.
+    async fn wait_for_head(
         &mut self,
         sending: impl Future<Output = Result<Exchange, Failure>>,
     ) -> Result<Exchange, Option<Failure>> {
         let mut sending = std::pin::pin!(sending);
         let sent = clock::now();
-        let mut watch = Watch::new(sent + FIRST_STALL);
-        let front = self.front().clone();
+        let mut stall_timer = StallTimer::new(sent + FIRST_EVENT_STALL);
+        let state = self.state().clone();
         loop {
             tokio::select! {
                 result = sending.as_mut() => return result.map_err(Some),
-                () = idle(&front) => {}
+                () = wait_for_fault_or_tick(&state) => {}
             }
             let now = clock::now();
-            if now >= self.job.deadline {
+            if now >= self.ctx.deadline {
                 return Err(None);
             }
-            if watch.is_due(!self.known_faults().is_empty(), now) {
-                match self.look(sent).await {
-                    Look::Passing => watch.passed(now),
-                    Look::Sound | Look::Moved => watch.looked(clock::now()),
-                    Look::Lost(_) => return Err(None),
+            if stall_timer.is_due(!self.known_faults().is_empty(), now) {
+                match self.check_stall(sent).await {
+                    StallCheck::Progressing => stall_timer.deferred(now),
+                    StallCheck::Healthy | StallCheck::Rerouted => stall_timer.checked(clock::now()),
+                    StallCheck::Lost(_) => return Err(None),
                 }
             }
         }
     }
 
-    /// The parts of its chain that are known to be dead or slow.
-    fn known_faults(&self) -> Faulty {
-        let fleet = self.front().fleet.borrow();
-        let mut faulty = Faulty::default();
+    /// The hops of the chain that are known to be dead or slow.
+    fn known_faults(&self) -> FaultyHops {
+        let fleet = self.state().fleet.borrow();
+        let mut faulty = FaultyHops::default();
         for hop in self.claim.iter().flat_map(|claim| &claim.chain) {
             if fleet.is_dead(&hop.id) {
                 faulty.dead.push(hop.clone());
@@ -379,62 +399,74 @@
         faulty
     }
 
-    fn judge(&mut self, first: &Hop, exchange: Exchange) -> Result<Exchange, &'static str> {
+    fn check_response(
+        &mut self,
+        first: &Hop,
+        exchange: Exchange,
+    ) -> Result<Exchange, &'static str> {
         let status = exchange.head.status();
-        let said = header::answer(exchange.head.headers());
-        if !self.job.owns(&said, status) {
-            self.front().pool.forget(first.address);
+        let info = header::answer(exchange.head.headers());
+        if !self.ctx.is_answered_by(&info, status) {
+            self.state().pool.forget(first.address);
             self.may_have_run += 1;
             return Err("answer to another request");
         }
-        if said.not_run || status == StatusCode::MISDIRECTED_REQUEST {
+        if info.not_run || status == StatusCode::MISDIRECTED_REQUEST {
             self.rejected += 1;
-            self.blame(first, said.at_fault, status);
+            self.exclude_at_fault(first, info.at_fault, status);
             return Err("rejected by an endpoint");
         }
         self.may_have_run += 1;
-        if status.is_success() && !said.signed {
+        if status.is_success() && !info.signed {
             return Err("answer without a signature");
         }
-        let again = self.may_have_run < self.job.route.attempts;
-        if status.is_server_error() && again && self.job.route.is_idempotent() {
+        let can_retry = self.may_have_run < self.ctx.route.attempts;
+        if status.is_server_error() && can_retry && self.ctx.route.is_idempotent() {
             self.avoid.push(first.clone());
             return Err("endpoint failed");
         }
         Ok(exchange)
     }
 
-    /// Leaves out the endpoint that an answer names, or the first one, and
-    /// finds out whether it is dead or only has no memory.
-    fn blame(&mut self, first: &Hop, at_fault: Option<std::net::SocketAddr>, status: StatusCode) {
+    /// Excludes the endpoint that a response names as at fault, or the first
+    /// one, and checks whether it is dead or only out of memory.
+    fn exclude_at_fault(
+        &mut self,
+        first: &Hop,
+        at_fault: Option<std::net::SocketAddr>,
+        status: StatusCode,
+    ) {
         let chain = self.claim.as_ref().map(|claim| claim.chain.clone()).unwrap_or_default();
         let named = chain.iter().find(|hop| Some(hop.address) == at_fault);
         let hop = named.unwrap_or(first).clone();
         if named.is_some() {
-            let front = self.front().clone();
-            front.fleet.borrow_mut().crowd(&hop.id, clock::now());
-            emit!(front.log, Event::EndpointCrowded, "endpoint" => &*hop.id, "request" => &*self.job.id, "status" => status.as_u16());
+            let state = self.state().clone();
+            state.fleet.borrow_mut().crowd(&hop.id, clock::now());
+            emit!(state.log, Event::EndpointCrowded, "endpoint" => &*hop.id, "request" => &*self.ctx.id, "status" => status.as_u16());
             let hop = hop.clone();
-            // It takes part in no choice until the finding is there.
-            tokio::task::spawn_local(async move { drop(probe::examine(&front, &hop).await) });
+            // The endpoint is not selected until the probe has ended.
+            tokio::task::spawn_local(async move { drop(probe::check_alive(&state, &hop).await) });
         }
         self.avoid.push(hop);
     }
 
-    /// What the request needs from here on.
-    fn demand_now(&self) -> Demand {
-        let written = self.passed as f64 * f64::from(self.engine.stride);
-        let output = (self.demand.output - written).max(f64::from(self.engine.stride));
-        Demand { prompt: self.demand.prompt + written, output }
+    /// The demand of the rest of the request.
+    fn remaining_demand(&self) -> Demand {
+        let generated = self.events_forwarded as f64 * f64::from(self.engine.stride);
+        let output = (self.demand.output - generated).max(f64::from(self.engine.stride));
+        Demand { prompt: self.demand.prompt + generated, output }
     }
 
-    /// Passes on an answer that is no stream.
-    async fn pass_failure(&self, mut exchange: Exchange) -> Result<Response<Answer>, End> {
+    /// Forwards a response that is not a stream.
+    async fn forward_failure(
+        &self,
+        mut exchange: Exchange,
+    ) -> Result<Response<ResponseBody>, RequestError> {
         let Ok(body) = exchange.collect(MAX_ANSWER_BYTES).await else {
-            return Err(End::Failed(StatusCode::BAD_GATEWAY, "answer lost"));
+            return Err(RequestError::Failed(StatusCode::BAD_GATEWAY, "answer lost"));
         };
-        self.front().meter.requests(1, Outcome::Failed);
-        self.job.log_answered(exchange.head.status(), "first of the chain");
-        Ok(pass_on(&exchange.head, Answer::Whole(Some(body))))
+        self.state().meter.requests(1, Outcome::Failed);
+        self.ctx.log_answered(exchange.head.status(), "first of the chain");
+        Ok(forward_response(&exchange.head, ResponseBody::Full(Some(body))))
     }
 }
--- /dev/null
+++ b/mimosafront/src/relay/model/stall.rs
@@ -0,0 +1,183 @@
+//! Checks chains that make no progress, and reroutes requests to other chains.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use mimosaplatform::engine as wire;
+use mimosashift::emit;
+use mimosashift::event::Event;
+use mimosashift::exchange::{Order, Ordered};
+use mimosashift::fleet::{Chain, Hop, Member, Shortage};
+use mimosashift::meter::Recovery;
+use mimosashift::time::Instant;
+use smallvec::SmallVec;
+use tokio::task::JoinSet;
+use tokio::time::timeout;
+
+use super::{MAX_ANSWER_BYTES, Session};
+use crate::clock;
+use crate::probe::{self, ProbeResult};
+use crate::state::{RouterState, millis};
+
+/// Time limit for an order that reroutes a request.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Maximum number of chains tried for a request that is rerouted; each refusal
+/// names an endpoint to exclude.
+const MAX_REROUTES: usize = 4;
+
+/// Result of checking a chain that makes no progress.
+pub(super) enum StallCheck {
+    /// Every hop answers.
+    Healthy,
+    /// Every hop has recently processed other work.
+    Progressing,
+    /// The request was rerouted to another chain.
+    Rerouted,
+    /// The request must be sent again.
+    Lost(&'static str),
+}
+
+impl Session {
+    /// Checks a chain that has delivered no event since `since`, and reroutes
+    /// the request if a hop is dead.
+    pub(super) async fn check_stall(&mut self, since: Instant) -> StallCheck {
+        let Some(claim) = &self.claim else { return StallCheck::Lost("no chain assigned") };
+        let chain = claim.chain.clone();
+        let silent = self.state().fleet.borrow().silent(&chain, clock::now());
+        let known = self.known_faults();
+        if silent.is_empty() && known.is_empty() {
+            return StallCheck::Progressing;
+        }
+        let FaultyHops { dead, slow } = if known.is_empty() {
+            probe_silent(self.state(), &silent, &self.ctx.id).await
+        } else {
+            known
+        };
+        let names = |hops: &[Hop]| hops.iter().map(|hop| &*hop.id).collect::<Vec<_>>().join(",");
+        let silent_ms = millis(clock::now().since(since));
+        emit!(self.state().log, Event::RequestExamined, "request" => &*self.ctx.id, "silent_ms" => silent_ms, "silent" => names(&silent), "dead" => names(&dead), "slow" => names(&slow), "after_event" => self.events.last());
+        let first = chain[0].clone();
+        if dead.iter().any(|hop| hop.id == first.id) {
+            self.avoid.extend(dead);
+            return StallCheck::Lost("first endpoint is dead");
+        }
+        if dead.is_empty() {
+            return self.avoid_slow(&first, slow).await;
+        }
+        self.avoid.extend(dead);
+        match self.reroute(&first, &slow).await {
+            StallCheck::Lost(_) if !slow.is_empty() => self.reroute(&first, &[]).await,
+            check => check,
+        }
+    }
+
+    /// Reroutes a request around slow endpoints, if others have room for it.
+    async fn avoid_slow(&mut self, first: &Hop, slow: SmallVec<[Hop; 4]>) -> StallCheck {
+        let others = slow.iter().any(|hop| hop.id != first.id);
+        if !others || self.chain_from_first(first, &slow).is_err() {
+            return StallCheck::Healthy;
+        }
+        match self.reroute(first, &slow).await {
+            StallCheck::Rerouted => StallCheck::Rerouted,
+            _ => StallCheck::Healthy,
+        }
+    }
+
+    /// A chain for the rest of a request that has started, which also avoids
+    /// `exclude`.
+    fn chain_from_first(&self, first: &Hop, exclude: &[Hop]) -> Result<Chain, Shortage> {
+        let avoid: Vec<Hop> = self.avoid.iter().chain(exclude).cloned().collect();
+        self.find_chain(&self.remaining_demand(), Some(first), &avoid)
+    }
+
+    /// Reroutes the request to another chain with the same first hop, which
+    /// avoids `self.avoid` and `exclude`.
+    async fn reroute(&mut self, first: &Hop, exclude: &[Hop]) -> StallCheck {
+        for _ in 0..MAX_REROUTES {
+            let Ok(chain) = self.chain_from_first(first, exclude) else {
+                return StallCheck::Lost("no chain from the first endpoint");
+            };
+            match self.send_reroute(first, &chain).await {
+                Ordered::Taken => {
+                    self.state().meter.recoveries(1, Recovery::Rebuilt);
+                    let mut claim = self.claim.take().expect("started request has a chain");
+                    self.state().fleet.borrow_mut().reroute(&mut claim, chain);
+                    self.claim = Some(claim);
+                    return StallCheck::Rerouted;
+                }
+                // The hop at fault has no room or is gone: try without it.
+                Ordered::Refused { at_fault: Some(address), .. } => {
+                    let named = chain.iter().skip(1).find(|hop| hop.address == address);
+                    let Some(hop) = named else { break };
+                    self.avoid.push(hop.clone());
+                }
+                Ordered::Refused { at_fault: None, .. } | Ordered::Unknown => break,
+            }
+        }
+        StallCheck::Lost("request could not be rerouted")
+    }
+
+    async fn send_reroute(&self, first: &Hop, chain: &Chain) -> Ordered {
+        let order = Order::Reroute { id: &self.ctx.id, chain };
+        let call = wire::order_call(first.address, &first.id, &order);
+        let ordering = async {
+            let mut exchange = self.state().pool.send(first.address, call, false).await.ok()?;
+            let body = exchange.collect(MAX_ANSWER_BYTES).await.ok()?;
+            Some(wire::ordered(exchange.head.status(), &body))
+        };
+        let ordered = timeout(ORDER_TIMEOUT, ordering).await.ok().flatten();
+        let ordered = ordered.unwrap_or(Ordered::Unknown);
+        let to: Vec<_> = chain.iter().map(|hop| format!("{}:{}", hop.id, hop.layers)).collect();
+        let answer = format!("{ordered:?}");
+        emit!(self.state().log, Event::RequestMoved, "request" => &*self.ctx.id, "to" => to.join(","), "said" => answer, "after_event" => self.events.last());
+        ordered
+    }
+}
+
+/// The hops of a chain at which a request is stuck.
+#[derive(Default)]
+pub(super) struct FaultyHops {
+    /// Hops that give no report, or for which other hops report to be waiting.
+    pub(super) dead: SmallVec<[Hop; 4]>,
+    /// Hops that report to be far slower than expected of their accelerator.
+    pub(super) slow: SmallVec<[Hop; 4]>,
+}
+
+impl FaultyHops {
+    pub(super) fn is_empty(&self) -> bool {
+        self.dead.is_empty() && self.slow.is_empty()
+    }
+}
+
+/// Probes the endpoints that have gone silent.
+async fn probe_silent(state: &Rc<RouterState>, hops: &[Hop], request: &str) -> FaultyHops {
+    let mut probes = JoinSet::new();
+    for hop in hops.iter().cloned() {
+        let state = state.clone();
+        probes.spawn_local(async move {
+            let result = probe::check_alive(&state, &hop).await;
+            (hop, result)
+        });
+    }
+    let (mut faulty, mut waited_for) = (FaultyHops::default(), Vec::new());
+    while let Some(Ok((hop, result))) = probes.join_next().await {
+        match result {
+            ProbeResult::Alive(report) => {
+                let stalled = report.stalled.iter().filter(|(id, _)| id == request);
+                waited_for.extend(stalled.map(|(_, address)| *address));
+                let slow = state.fleet.borrow().get(&hop.id).is_some_and(Member::is_slow);
+                if slow {
+                    faulty.slow.push(hop);
+                }
+            }
+            ProbeResult::Dead(_) => faulty.dead.push(hop),
+        }
+    }
+    for hop in hops.iter().filter(|hop| waited_for.contains(&hop.address)) {
+        if !faulty.dead.contains(hop) {
+            faulty.dead.push(hop.clone());
+        }
+    }
+    faulty
+}
--- a/mimosafront/src/relay/plain.rs
+++ b/mimosafront/src/relay/plain.rs
@@ -1,4 +1,4 @@
-//! Requests to plain services.
+//! Relays requests to services without an engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,175 +8,183 @@
 use mimosaplatform::header;
 use mimosashift::emit;
 use mimosashift::event::Event;
-use mimosashift::exchange::Answer as Said;
+use mimosashift::exchange::Answer as AnswerInfo;
 use mimosashift::fleet::Hop;
 use mimosashift::link::{Exchange, Failure};
 use mimosashift::meter::{Outcome, RefusalReason};
 use smallvec::SmallVec;
 use tokio::time::timeout;
 
-use super::{End, Job, pass_on};
-use crate::body::Answer;
+use super::{RequestContext, RequestError, forward_response};
+use crate::body::ResponseBody;
 use crate::clock;
-use crate::front::Front;
+use crate::state::RouterState;
 
-/// Largest answer of a plain service that is taken.
+/// Largest response that is accepted.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// Sends that certainly did not run, beyond the route's attempts.
-const MAX_REJECTED: u32 = 2;
+/// Number of sends beyond the attempts of the route that were certainly not
+/// executed.
+const MAX_REJECTED_SENDS: u32 = 2;
 
-/// Latency objectives after which an answer counts as lost if the request may
-/// be sent elsewhere.
-const LOST_AFTER: u32 = 2;
+/// Multiple of the latency objective after which a response counts as lost, if
+/// the request may be sent elsewhere.
+const LOST_AFTER_OBJECTIVES: u32 = 2;
 
-/// Least time after which an answer counts as lost: services vary by some
-/// hundred milliseconds.
+/// Minimum time after which a response counts as lost: service times vary by
+/// some hundred milliseconds.
 const MIN_LOST_AFTER: Duration = Duration::from_millis(200);
 
-/// When a client is told to come back if every endpoint is full: some requests
-/// have been served by then.
-const FULL_RETRY: Duration = Duration::from_millis(150);
+/// Retry-After if every endpoint is full: some requests have been served by
+/// then.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// What came of one send.
-enum Sent {
-    /// An answer to pass on.
-    Answered(Response<Answer>, bool),
-    /// It certainly did not run.
+/// Outcome of one send.
+enum SendOutcome {
+    /// A response, and whether to forward it rather than try again.
+    Answered(Response<ResponseBody>, bool),
+    /// The request was certainly not executed.
     NotRun(&'static str),
-    /// It may have run.
+    /// The request may have been executed.
     Lost(&'static str),
 }
 
-/// Counts a request at an endpoint until it is dropped.
-struct Place<'a>(&'a Front, Hop);
+/// Counts a request against the load of an endpoint until dropped.
+struct LoadGuard<'a>(&'a RouterState, Hop);
 
-impl Drop for Place<'_> {
+impl Drop for LoadGuard<'_> {
     fn drop(&mut self) {
         self.0.fleet.borrow_mut().give(&self.1);
     }
 }
 
-/// Relays a request to one endpoint after another.
-pub async fn relay(job: Job) -> Result<Response<Answer>, End> {
+/// Tries one endpoint after another.
+pub async fn relay(ctx: RequestContext) -> Result<Response<ResponseBody>, RequestError> {
     let mut tried: SmallVec<[Arc<str>; 4]> = SmallVec::new();
     let (mut may_have_run, mut rejected) = (0, 0);
-    let mut last = None;
-    let mut why = "no endpoint left";
+    let mut last_response = None;
+    let mut cause = "no endpoint left";
     loop {
-        if job.left().is_zero() {
-            return Err(too_late(may_have_run > 0));
+        if ctx.remaining().is_zero() {
+            return Err(deadline_error(may_have_run > 0));
         }
-        if !tried.is_empty() && !job.front.take_retry(&job.service.name) {
+        if !tried.is_empty() && !ctx.state.take_retry(&ctx.service.name) {
             break;
         }
         let now = clock::now();
-        let zone = job.front.node().zone.clone();
-        let hop = job.front.fleet.borrow().pick(&job.service.name, &zone, &tried, now);
+        let zone = ctx.state.node().zone.clone();
+        let hop = ctx.state.fleet.borrow().pick(&ctx.service.name, &zone, &tried, now);
         let Some(hop) = hop else { break };
         let attempt = tried.len() as u32 + 1;
         if attempt > 1 {
-            emit!(job.front.log, Event::RequestRetried, "request" => &*job.id, "attempt" => attempt, "reason" => why);
+            emit!(ctx.state.log, Event::RequestRetried, "request" => &*ctx.id, "attempt" => attempt, "reason" => cause);
         }
         tried.push(hop.id.clone());
-        let again = job.route.is_idempotent() && may_have_run + 1 < job.route.attempts;
-        match send(&job, &hop, attempt, again).await {
-            Sent::Answered(response, true) => return Ok(response),
-            Sent::Answered(response, false) => {
+        let can_retry = ctx.route.is_idempotent() && may_have_run + 1 < ctx.route.attempts;
+        match send(&ctx, &hop, attempt, can_retry).await {
+            SendOutcome::Answered(response, true) => return Ok(response),
+            SendOutcome::Answered(response, false) => {
                 may_have_run += 1;
-                why = "endpoint failed";
-                last = Some(response);
+                cause = "endpoint failed";
+                last_response = Some(response);
             }
-            Sent::NotRun(reason) => {
+            SendOutcome::NotRun(reason) => {
                 rejected += 1;
-                why = reason;
+                cause = reason;
             }
-            Sent::Lost(reason) => {
+            SendOutcome::Lost(reason) => {
                 may_have_run += 1;
-                why = reason;
+                cause = reason;
             }
         }
-        let used_up = may_have_run > 0 && !job.route.is_idempotent();
-        if used_up || may_have_run >= job.route.attempts || rejected > MAX_REJECTED {
+        let is_exhausted = may_have_run > 0 && !ctx.route.is_idempotent();
+        if is_exhausted || may_have_run >= ctx.route.attempts || rejected > MAX_REJECTED_SENDS {
             break;
         }
     }
-    match last {
+    match last_response {
         Some(response) => Ok(response),
-        None if may_have_run > 0 => Err(End::Failed(StatusCode::BAD_GATEWAY, why)),
-        None => Err(End::Refused(RefusalReason::NoEndpoint, why, FULL_RETRY)),
+        None if may_have_run > 0 => Err(RequestError::Failed(StatusCode::BAD_GATEWAY, cause)),
+        None => Err(RequestError::Refused(RefusalReason::NoEndpoint, cause, FULL_RETRY_AFTER)),
     }
 }
 
-fn too_late(may_have_run: bool) -> End {
+fn deadline_error(may_have_run: bool) -> RequestError {
     if may_have_run {
-        return End::Failed(StatusCode::GATEWAY_TIMEOUT, "deadline passed");
+        return RequestError::Failed(StatusCode::GATEWAY_TIMEOUT, "deadline passed");
     }
-    End::Refused(RefusalReason::Late, "deadline passed", FULL_RETRY)
+    RequestError::Refused(RefusalReason::Late, "deadline passed", FULL_RETRY_AFTER)
 }
 
-/// Sends the request to one endpoint; with `again` it may be sent elsewhere
-/// if no good answer comes.
-async fn send(job: &Job, hop: &Hop, attempt: u32, again: bool) -> Sent {
-    let front = &job.front;
-    front.fleet.borrow_mut().take(hop);
-    let _place = Place(front, hop.clone());
-    let lost_after = (job.route.objective * LOST_AFTER).max(MIN_LOST_AFTER);
-    let time = if again { job.left().min(lost_after) } else { job.left() };
-    job.log_sent(attempt, &hop.id, "");
-    let answered = timeout(time, exchange(job, hop)).await;
-    let outcome = match answered {
-        Ok(Ok((exchange, response))) => judge(job, exchange, response, again),
+/// Sends the request to one endpoint; `can_retry` says whether it may be sent
+/// elsewhere if no good response comes.
+async fn send(ctx: &RequestContext, hop: &Hop, attempt: u32, can_retry: bool) -> SendOutcome {
+    let state = &ctx.state;
+    state.fleet.borrow_mut().take(hop);
+    let _load_guard = LoadGuard(state, hop.clone());
+    let lost_after = (ctx.route.objective * LOST_AFTER_OBJECTIVES).max(MIN_LOST_AFTER);
+    let send_timeout = if can_retry { ctx.remaining().min(lost_after) } else { ctx.remaining() };
+    ctx.log_sent(attempt, &hop.id, "");
+    let result = timeout(send_timeout, exchange(ctx, hop)).await;
+    let outcome = match result {
+        Ok(Ok((exchange, response))) => check_response(ctx, exchange, response, can_retry),
         Ok(Err(Failure::NotSent { reason, .. })) => {
-            front.doubt(&hop.id, &reason);
-            return Sent::NotRun("not sent");
+            state.mark_suspect(&hop.id, &reason);
+            return SendOutcome::NotRun("not sent");
         }
         Ok(Err(Failure::Lost { reason })) => {
-            front.doubt(&hop.id, &reason);
-            front.pool.forget(hop.address);
-            return Sent::Lost("answer lost");
+            state.mark_suspect(&hop.id, &reason);
+            state.pool.forget(hop.address);
+            return SendOutcome::Lost("answer lost");
         }
         Err(_) => {
-            front.doubt(&hop.id, "no answer in time");
-            front.pool.forget(hop.address);
-            return Sent::Lost("no answer in time");
+            state.mark_suspect(&hop.id, "no answer in time");
+            state.pool.forget(hop.address);
+            return SendOutcome::Lost("no answer in time");
         }
     };
-    // An endpoint's own failure counts against it, also where it is passed on.
-    let well = matches!(&outcome, Sent::Answered(r, _) if !r.status().is_server_error());
-    front.fleet.borrow_mut().answered(&hop.id, well);
-    if let Sent::Answered(response, true) = &outcome {
+    // A server error counts against the endpoint even if its response is
+    // forwarded.
+    let succeeded =
+        matches!(&outcome, SendOutcome::Answered(r, _) if !r.status().is_server_error());
+    state.fleet.borrow_mut().answered(&hop.id, succeeded);
+    if let SendOutcome::Answered(response, true) = &outcome {
         let status = response.status();
         let label = if status.is_success() { Outcome::Completed } else { Outcome::Failed };
-        front.meter.requests(1, label);
-        job.log_answered(status, &hop.id);
+        state.meter.requests(1, label);
+        ctx.log_answered(status, &hop.id);
     }
     outcome
 }
 
-async fn exchange(job: &Job, hop: &Hop) -> Result<(Exchange, Answer), Failure> {
-    let request = job.request(hop, &[], job.last_event);
-    let mut exchange = job.front.pool.send(hop.address, request, false).await?;
+async fn exchange(ctx: &RequestContext, hop: &Hop) -> Result<(Exchange, ResponseBody), Failure> {
+    let request = ctx.request(hop, &[], ctx.last_event);
+    let mut exchange = ctx.state.pool.send(hop.address, request, false).await?;
     let body = exchange.collect(MAX_ANSWER_BYTES).await?;
-    Ok((exchange, Answer::Whole(Some(body))))
+    Ok((exchange, ResponseBody::Full(Some(body))))
 }
 
-/// Whether an answer is the request's own and good.
-fn judge(job: &Job, exchange: Exchange, body: Answer, again: bool) -> Sent {
+/// Checks that a response belongs to the request and is a good one.
+fn check_response(
+    ctx: &RequestContext,
+    exchange: Exchange,
+    body: ResponseBody,
+    can_retry: bool,
+) -> SendOutcome {
     let status = exchange.head.status();
-    let said: Said = header::answer(exchange.head.headers());
-    if !job.owns(&said, status) {
-        job.front.pool.forget(exchange.address());
-        emit!(job.front.log, Event::ReplyDropped, "request" => &*job.id, "answers" => said.id.unwrap_or_default());
-        return Sent::Lost("answer to another request");
+    let info: AnswerInfo = header::answer(exchange.head.headers());
+    if !ctx.is_answered_by(&info, status) {
+        ctx.state.pool.forget(exchange.address());
+        emit!(ctx.state.log, Event::ReplyDropped, "request" => &*ctx.id, "answers" => info.id.unwrap_or_default());
+        return SendOutcome::Lost("answer to another request");
     }
-    if said.not_run || status == StatusCode::MISDIRECTED_REQUEST {
-        return Sent::NotRun("rejected by the endpoint");
+    if info.not_run || status == StatusCode::MISDIRECTED_REQUEST {
+        return SendOutcome::NotRun("rejected by the endpoint");
     }
-    let altered = exchange.head.headers().contains_key(CONTENT_ENCODING);
-    if status.is_success() && (!said.signed || altered) {
-        return Sent::Lost("answer without a signature");
+    let is_encoded = exchange.head.headers().contains_key(CONTENT_ENCODING);
+    if status.is_success() && (!info.signed || is_encoded) {
+        return SendOutcome::Lost("answer without a signature");
     }
-    let well = !(status.is_server_error() && again);
-    Sent::Answered(pass_on(&exchange.head, body), well)
+    let succeeded = !(status.is_server_error() && can_retry);
+    SendOutcome::Answered(forward_response(&exchange.head, body), succeeded)
 }
--- a/mimosafront/src/run.rs
+++ b/mimosafront/src/run.rs
@@ -11,65 +11,65 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-use crate::front::Front;
-use crate::settings::File;
-use crate::stop::{self, Signals};
+use crate::settings::SettingsFile;
+use crate::shutdown::{self, Signals};
+use crate::state::RouterState;
 use crate::{directory, gossip, metrics, placement, probe, readiness, server};
 
-/// What a router starts with.
-pub struct Start {
+/// What a router is started with.
+pub struct StartOptions {
     /// The settings file.
-    pub file: File,
+    pub file: SettingsFile,
     /// Its settings.
     pub node: Node,
     /// Address of the metrics.
     pub metrics: SocketAddr,
-    /// The log.
+    /// Event logger.
     pub log: Logger,
-    /// Metrics.
+    /// Metrics registry.
     pub meter: Meter,
 }
 
-/// Runs a router until it is told to stop; returns the number of requests
-/// that could not be finished.
-pub fn run(start: Start) -> io::Result<usize> {
+/// Runs a router until it is told to stop; returns the number of requests that
+/// were still in flight at the end of the grace period.
+pub fn run(options: StartOptions) -> io::Result<usize> {
     let signals = Signals::register()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, serve(start, signals))
+    LocalSet::new().block_on(&runtime, serve(options, signals))
 }
 
-async fn serve(start: Start, signals: Signals) -> io::Result<usize> {
-    let Start { file, node, metrics, log, meter } = start;
+async fn serve(options: StartOptions, signals: Signals) -> io::Result<usize> {
+    let StartOptions { file, node, metrics, log, meter } = options;
     let peer = SocketAddr::new(node.clients.ip(), node.peer_ports.0);
     let clients = TcpListener::bind(node.clients).await?;
     let readiness = TcpListener::bind(node.readiness).await?;
-    let peer_stream = TcpListener::bind(peer).await?;
-    let peer_datagrams = UdpSocket::bind(peer).await?;
-    let front = Front::new(node, log, meter);
-    let node = front.node();
+    let peer_listener = TcpListener::bind(peer).await?;
+    let peer_socket = UdpSocket::bind(peer).await?;
+    let state = RouterState::new(node, log, meter);
+    let node = state.node();
     emit!(
-        front.log, Event::FrontStarted,
+        state.log, Event::FrontStarted,
         "node" => &*node.name, "zone" => &*node.zone, "clients" => node.clients.to_string(),
-        "incarnation" => front.incarnation, "version" => env!("CARGO_PKG_VERSION"),
+        "incarnation" => state.incarnation, "version" => env!("CARGO_PKG_VERSION"),
     );
     let (closing, closed) = watch::channel(false);
-    spawn_local(directory::watch_config(front.clone()));
-    spawn_local(directory::watch_endpoints(front.clone()));
-    spawn_local(gossip::exchange(front.clone(), peer_datagrams));
-    spawn_local(gossip::serve_config(front.clone(), peer_stream));
-    spawn_local(placement::keep(front.clone()));
-    spawn_local(probe::sweep(front.clone()));
-    spawn_local(probe::watch(front.clone()));
-    spawn_local(readiness::serve(front.clone(), readiness));
-    spawn_local(server::serve(front.clone(), clients, closed));
+    spawn_local(directory::watch_config(state.clone()));
+    spawn_local(directory::watch_endpoints(state.clone()));
+    spawn_local(gossip::exchange(state.clone(), peer_socket));
+    spawn_local(gossip::serve_config(state.clone(), peer_listener));
+    spawn_local(placement::run(state.clone()));
+    spawn_local(probe::poll_reports(state.clone()));
+    spawn_local(probe::watch_liveness(state.clone()));
+    spawn_local(readiness::serve(state.clone(), readiness));
+    spawn_local(server::serve(state.clone(), clients, closed));
     match TcpListener::bind(metrics).await {
-        Ok(listener) => drop(spawn_local(metrics::serve(front.clone(), listener))),
-        // A router without metrics is better than none.
+        Ok(listener) => drop(spawn_local(metrics::serve(state.clone(), listener))),
+        // A router without metrics is preferable to no router.
         Err(error) => {
-            emit!(front.log, Event::MetricsUnavailable, "address" => metrics.to_string(), "error" => error.to_string());
+            emit!(state.log, Event::MetricsUnavailable, "address" => metrics.to_string(), "error" => error.to_string());
         }
     }
-    let cut_off = stop::wait(front.clone(), signals, file, closing).await;
-    emit!(front.log, Event::FrontStopped, "cut_off" => cut_off);
-    Ok(cut_off)
+    let unfinished = shutdown::run_until_stopped(state.clone(), signals, file, closing).await;
+    emit!(state.log, Event::FrontStopped, "cut_off" => unfinished);
+    Ok(unfinished)
 }
--- a/mimosafront/src/settings.rs
+++ b/mimosafront/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file and notices that it changed.
+//! Reads the settings file and detects changes to it.
 
 use std::path::{Path, PathBuf};
 use std::{fs, io};
@@ -6,44 +6,45 @@
 use mimosaplatform::settings::{self, DEFAULT_PATH, PATH_VARIABLE};
 use mimosashift::deployment::Node;
 
-/// The settings file.
+/// The settings file and its last contents.
 #[derive(Debug)]
-pub struct File {
+pub struct SettingsFile {
     path: PathBuf,
     text: String,
 }
 
-/// Why there are no usable settings.
+/// Reason for which no usable settings could be loaded.
 #[derive(Debug)]
 pub enum Error {
     /// The file cannot be read.
     Read(PathBuf, io::Error),
-    /// The file is wrong.
-    Wrong(settings::Error),
+    /// The file is invalid.
+    Invalid(settings::Error),
 }
 
 impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Read(path, error) => write!(f, "settings: {}: {error}", path.display()),
-            Self::Wrong(error) => error.fmt(f),
+            Self::Invalid(error) => error.fmt(f),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-impl File {
-    /// Opens the file of the flag, of the environment or of the default path.
+impl SettingsFile {
+    /// Opens the file given by the flag, else by the environment, else at the
+    /// default path.
     pub fn open(flag: Option<PathBuf>) -> Result<(Self, Node), Error> {
         let variable = std::env::var_os(PATH_VARIABLE).map(PathBuf::from);
         let path = flag.or(variable).unwrap_or_else(|| DEFAULT_PATH.into());
         let text = read(&path)?;
-        let node = settings::node(&text).map_err(Error::Wrong)?;
+        let node = settings::node(&text).map_err(Error::Invalid)?;
         Ok((Self { path, text }, node))
     }
 
-    /// Reads the file again; `None` while it is unchanged.
+    /// Reads the file again; returns `None` if it is unchanged.
     pub fn reload(&mut self) -> Option<Result<Node, Error>> {
         let text = match read(&self.path) {
             Ok(text) if text == self.text => return None,
@@ -51,7 +52,7 @@
             Err(error) => return Some(Err(error)),
         };
         self.text = text;
-        Some(settings::node(&self.text).map_err(Error::Wrong))
+        Some(settings::node(&self.text).map_err(Error::Invalid))
     }
 }
 
--- /dev/null
+++ b/mimosafront/src/shutdown.rs
@@ -0,0 +1,97 @@
+//! Handles signals, settings reloads and graceful shutdown.
+
+use std::io;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+
+use mimosashift::emit;
+use mimosashift::event::Event;
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
+use tokio::sync::watch;
+
+use crate::settings::SettingsFile;
+use crate::state::RouterState;
+
+/// Interval at which signals are polled.
+const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Polls between two checks of the settings file, which may change without a
+/// signal.
+const POLLS_PER_RELOAD: u32 = 20;
+
+/// Time after SIGTERM during which new connections are still accepted: the load
+/// balancer polls readiness every second and removes a router after two failed
+/// checks.
+const DRAIN_DELAY: Duration = Duration::from_millis(2_600);
+
+/// Time before the platform sends SIGKILL by which the router exits.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+
+/// Time allowed for flushing the last bytes of responses.
+const FLUSH_DELAY: Duration = Duration::from_millis(150);
+
+/// Signals that have been received.
+pub struct Signals {
+    stop: Arc<AtomicBool>,
+    reload: Arc<AtomicBool>,
+}
+
+impl Signals {
+    /// Installs the handlers; signals received from here on are recorded.
+    pub fn register() -> io::Result<Self> {
+        let signals = Self { stop: Arc::default(), reload: Arc::default() };
+        for signal in [SIGTERM, SIGINT] {
+            signal_hook::flag::register(signal, signals.stop.clone())?;
+        }
+        signal_hook::flag::register(SIGHUP, signals.reload.clone())?;
+        Ok(signals)
+    }
+}
+
+/// Handles signals and settings changes until the router may exit; returns the
+/// number of requests still in flight.
+pub async fn run_until_stopped(
+    state: Rc<RouterState>,
+    signals: Signals,
+    mut file: SettingsFile,
+    closing: watch::Sender<bool>,
+) -> usize {
+    let mut polls = 0;
+    while !signals.stop.load(Ordering::Relaxed) {
+        tokio::time::sleep(SIGNAL_POLL_INTERVAL).await;
+        polls += 1;
+        if signals.reload.swap(false, Ordering::Relaxed) || polls % POLLS_PER_RELOAD == 0 {
+            reload(&state, &mut file);
+            state.pool.sweep();
+        }
+    }
+    state.stopping.set(true);
+    let grace = state.node().bounds.grace;
+    let in_flight = state.in_flight.get();
+    emit!(state.log, Event::FrontStopping, "in_flight" => in_flight, "grace_ms" => crate::state::millis(grace));
+    let deadline = tokio::time::Instant::now() + grace.saturating_sub(EXIT_MARGIN);
+    tokio::time::sleep(DRAIN_DELAY.min(grace / 2)).await;
+    // The receivers are held by the accept loop and by the connections; with
+    // none left there is nobody to notify.
+    let _ = closing.send(true);
+    while state.in_flight.get() > 0 && tokio::time::Instant::now() < deadline {
+        tokio::time::sleep(SIGNAL_POLL_INTERVAL).await;
+    }
+    tokio::time::sleep(FLUSH_DELAY).await;
+    state.in_flight.get()
+}
+
+fn reload(state: &RouterState, file: &mut SettingsFile) {
+    match file.reload() {
+        None => {}
+        Some(Ok(node)) => {
+            emit!(state.log, Event::SettingsReloaded, "node" => &*node.name, "zone" => &*node.zone);
+            *state.node.borrow_mut() = Rc::new(node);
+        }
+        Some(Err(error)) => {
+            emit!(state.log, Event::SettingsInvalid, "error" => error.to_string());
+        }
+    }
+}
--- /dev/null
+++ b/mimosafront/src/state.rs
@@ -0,0 +1,297 @@
+//! State that the tasks of a router share.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use mimosaplatform::store::Store;
+use mimosashift::admit::pressure::Pressure;
+use mimosashift::currency::Currency;
+use mimosashift::deployment::{Deployment, Node};
+use mimosashift::emit;
+use mimosashift::event::{Event, Logger};
+use mimosashift::exchange::Report;
+use mimosashift::fleet::{Fleet, Member, Observed};
+use mimosashift::link::{self, Pool};
+use mimosashift::meter::Meter;
+use mimosashift::peer::Peers;
+use mimosashift::pipeline::retry::{Bound, Window};
+use mimosashift::time::Instant;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use tokio::sync::Notify;
+
+use crate::clock;
+use crate::probe::ProbeResults;
+
+/// Time limit for opening a connection: a few round trips between zones; a full
+/// accept queue at the other end shows as a longer wait.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Time with unacknowledged data after which a connection counts as dead: far
+/// above a round trip and shorter than a client waits for the next event.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Time limit for a call to the store: many times its usual latency.
+const STORE_TIMEOUT: Duration = Duration::from_millis(900);
+
+/// Minimum number of routers among which the extra retries are divided, for a
+/// router that has not yet heard of its peers.
+const MIN_RETRY_SHARERS: f64 = 4.0;
+
+/// State that the tasks of a router share.
+pub struct RouterState {
+    /// Settings in force.
+    pub node: RefCell<Rc<Node>>,
+    /// Configuration in force, with its source text for peers.
+    pub deployment: RefCell<Option<ActiveConfig>>,
+    /// When the configuration was last confirmed.
+    pub config_freshness: Cell<Currency>,
+    /// Known endpoints and their load.
+    pub fleet: RefCell<Fleet>,
+    /// Other routers, as known by gossip.
+    pub peers: RefCell<Peers>,
+    /// Recent liveness probes, by endpoint.
+    pub probe_results: RefCell<ProbeResults>,
+    /// Load on the engines: requests that wait for memory.
+    pub pressure: RefCell<Pressure>,
+    /// Wakes every request when an endpoint is found dead or slow.
+    pub faults: Notify,
+    /// Wakes one request that waits for engine memory.
+    pub memory_released: Notify,
+    /// Connections to endpoints and the store.
+    pub pool: Rc<Pool>,
+    /// The store.
+    pub store: Store,
+    /// Triggers an early read of the configuration.
+    pub config_refresh: Notify,
+    /// Wakes requests that wait for the configuration to be confirmed.
+    pub config_confirmed: Notify,
+    /// When the store last answered.
+    pub last_store_answer: Cell<Option<Instant>>,
+    /// Whether the last call to the store failed.
+    pub store_lost: Cell<bool>,
+    /// When the endpoint directory was last read.
+    pub last_directory_read: Cell<Option<Instant>>,
+    /// Recent changes found in reports, to be gossiped to peers.
+    pub observed: RefCell<Vec<(Instant, Observed)>>,
+    /// Whether this router holds the placement lease.
+    pub holds_placement_lease: Cell<bool>,
+    /// Whether SIGTERM has arrived.
+    pub stopping: Cell<bool>,
+    /// Requests in flight.
+    pub in_flight: Cell<usize>,
+    /// Incarnation number of this process; increases with each start.
+    pub incarnation: u64,
+    /// Event logger.
+    pub log: Logger,
+    /// Metrics registry.
+    pub meter: Meter,
+    retry_windows: RefCell<HashMap<Arc<str>, Window>>,
+    /// Largest number of routers that were alive at the same time: retries
+    /// spent by a router that has died still count.
+    peak_routers: Cell<usize>,
+    rng: RefCell<Pcg64Mcg>,
+}
+
+/// A configuration in force.
+#[derive(Clone)]
+pub struct ActiveConfig {
+    /// Parsed configuration.
+    pub deployment: Rc<Deployment>,
+    /// Source text, served to peers.
+    pub text: Rc<str>,
+}
+
+impl RouterState {
+    /// Creates the initial state.
+    pub fn new(node: Node, log: Logger, meter: Meter) -> Rc<Self> {
+        let settings =
+            link::Settings { connect_timeout: CONNECT_TIMEOUT, silence: UNACKED_TIMEOUT };
+        let pool = Pool::new(settings);
+        let store = Store::new(pool.clone(), node.store.address, STORE_TIMEOUT);
+        let now = clock::now();
+        let port = node.peer_ports.0;
+        let own_address = std::net::SocketAddr::new(node.clients.ip(), port);
+        let seeds: Vec<_> =
+            node.seeds.iter().map(|seed| std::net::SocketAddr::new(seed.ip(), port)).collect();
+        let incarnation = clock::unix_micros();
+        Rc::new(Self {
+            peers: RefCell::new(Peers::new(own_address, node.zone.clone(), &seeds, now)),
+            node: RefCell::new(Rc::new(node)),
+            deployment: RefCell::default(),
+            config_freshness: Cell::default(),
+            fleet: RefCell::default(),
+            probe_results: RefCell::default(),
+            pressure: RefCell::default(),
+            faults: Notify::new(),
+            memory_released: Notify::new(),
+            pool,
+            store,
+            config_refresh: Notify::new(),
+            config_confirmed: Notify::new(),
+            last_store_answer: Cell::default(),
+            store_lost: Cell::default(),
+            last_directory_read: Cell::default(),
+            observed: RefCell::default(),
+            holds_placement_lease: Cell::default(),
+            stopping: Cell::default(),
+            in_flight: Cell::default(),
+            incarnation,
+            log,
+            meter,
+            retry_windows: RefCell::default(),
+            peak_routers: Cell::new(1),
+            rng: RefCell::new(Pcg64Mcg::seed_from_u64(incarnation)),
+        })
+    }
+
+    /// Settings in force.
+    pub fn node(&self) -> Rc<Node> {
+        self.node.borrow().clone()
+    }
+
+    /// The configuration in force.
+    pub fn deployment(&self) -> Option<Rc<Deployment>> {
+        self.deployment.borrow().as_ref().map(|active| active.deployment.clone())
+    }
+
+    /// Revision in force; 0 before the first configuration.
+    pub fn revision(&self) -> u64 {
+        self.deployment.borrow().as_ref().map_or(0, |active| active.deployment.revision)
+    }
+
+    /// Installs a configuration if it is newer than the one in force.
+    pub fn install(&self, deployment: Deployment, text: &str, source: &str) {
+        let before = self.revision();
+        if deployment.revision <= before {
+            if deployment.revision < before {
+                let found = deployment.revision;
+                emit!(self.log, Event::ConfigOlder, "revision" => before, "found" => found, "source" => source);
+            }
+            return;
+        }
+        emit!(
+            self.log, Event::ConfigInstalled,
+            "revision" => deployment.revision, "before" => before, "source" => source,
+            "routes" => deployment.route_count(),
+        );
+        self.meter.config_revision(deployment.revision);
+        let active = ActiveConfig { deployment: Rc::new(deployment), text: text.into() };
+        *self.deployment.borrow_mut() = Some(active);
+    }
+
+    /// Records that the installed configuration was the newest at `started`.
+    pub fn confirm(&self, started: Instant) {
+        let mut freshness = self.config_freshness.get();
+        freshness.confirm(started);
+        self.config_freshness.set(freshness);
+        self.config_confirmed.notify_waiters();
+    }
+
+    /// Age of the last confirmation, in milliseconds, for logs.
+    pub fn config_age_ms(&self) -> Option<u64> {
+        self.config_freshness.get().age(clock::now()).map(millis)
+    }
+
+    /// Age of the directory, in milliseconds, for logs.
+    pub fn directory_age_ms(&self) -> Option<u64> {
+        self.last_directory_read.get().map(|read_at| millis(clock::now().since(read_at)))
+    }
+
+    /// Whether the configuration is recent enough to accept client keys, which
+    /// may have been revoked since.
+    pub fn keys_are_current(&self) -> bool {
+        let bound = self.node.borrow().bounds.revocation;
+        bound.is_none_or(|bound| self.config_freshness.get().is_current(bound, clock::now()))
+    }
+
+    /// Counts a new request to a service, which adds to its retry budget.
+    pub fn count_request(&self, service: &Arc<str>) {
+        self.with_retry_window(service, |window, now| window.on_request(now));
+    }
+
+    /// Takes a retry from the budget of a service, if one is left.
+    pub fn take_retry(&self, service: &Arc<str>) -> bool {
+        let bound = self.retry_bound();
+        let taken = self.with_retry_window(service, |window, now| window.take(&bound, now));
+        if taken {
+            self.meter.retries(1);
+        } else {
+            self.meter.retry_budget_exhausted(1);
+            emit!(self.log, Event::RetryBudgetExhausted, "service" => &**service, "routers" => self.peak_routers.get());
+        }
+        taken
+    }
+
+    fn with_retry_window<T>(
+        &self,
+        service: &Arc<str>,
+        update: impl FnOnce(&mut Window, Instant) -> T,
+    ) -> T {
+        let now = clock::now();
+        let mut windows = self.retry_windows.borrow_mut();
+        update(windows.entry(service.clone()).or_insert_with(|| Window::new(now)), now)
+    }
+
+    /// This router's share of the retry budget, which applies to all routers
+    /// together.
+    fn retry_bound(&self) -> Bound {
+        let bounds = self.node.borrow().bounds;
+        let routers = self.peers.borrow().alive(clock::now()).count() + 1;
+        self.peak_routers.set(self.peak_routers.get().max(routers));
+        let sharers = (self.peak_routers.get() as f64).max(MIN_RETRY_SHARERS);
+        Bound {
+            length: bounds.retry_window,
+            per_request: bounds.retry_ratio,
+            extra: bounds.extra_retries / sharers,
+        }
+    }
+
+    /// A random number in `0.0..1.0`.
+    pub fn random_fraction(&self) -> f64 {
+        self.rng.borrow_mut().random_range(0.0..1.0)
+    }
+
+    /// Applies a report from an endpoint and keeps what it changed, for peers.
+    pub fn apply_report(&self, id: &str, report: &Report) {
+        let is_slow = || self.fleet.borrow().get(id).is_some_and(Member::is_slow);
+        let was_slow = is_slow();
+        let change = self.fleet.borrow_mut().report(id, report, clock::now());
+        let Some(change) = change else { return };
+        if is_slow() && !was_slow {
+            self.faults.notify_waiters();
+        }
+        let mut observed = self.observed.borrow_mut();
+        observed.retain(|(_, earlier)| earlier.endpoint != change.endpoint);
+        observed.push((clock::now(), change));
+        self.log_observed(id, &change, "report");
+    }
+
+    /// Logs an observation of an endpoint and its source.
+    pub fn log_observed(&self, id: &str, change: &Observed, source: &str) {
+        let layers = change.layers.map(|layers| layers.to_string());
+        emit!(self.log, Event::EndpointPlaced, "endpoint" => id, "source" => source, "layers" => layers, "pace" => change.pace);
+    }
+
+    /// Marks an endpoint that does not answer as dead, and wakes the requests
+    /// that use it.
+    pub fn mark_dead(&self, id: &str, reason: &str) {
+        self.fleet.borrow_mut().die(id, clock::now());
+        self.faults.notify_waiters();
+        emit!(self.log, Event::EndpointDoubted, "endpoint" => id, "reason" => reason, "dead" => true);
+    }
+
+    /// Excludes an endpoint for a while after a failure.
+    pub fn mark_suspect(&self, id: &str, reason: &str) {
+        self.fleet.borrow_mut().fail(id, clock::now());
+        emit!(self.log, Event::EndpointDoubted, "endpoint" => id, "reason" => reason);
+    }
+}
+
+/// A duration in whole milliseconds, for logs.
+pub fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
+}
