--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -211,7 +211,8 @@
     }
 }
 
-/// Counts a call to the store and logs when the store is lost and regained.
+/// Counts a call to the store and logs when the store becomes unreachable or
+/// reachable again.
 pub fn record_store_call<T>(state: &RouterState, call: PlatformCall, outcome: &Outcome<T>) {
     let now = clock::now();
     let label = match outcome {
--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -17,7 +17,7 @@
 use crate::state::RouterState;
 use crate::{clock, probe};
 
-/// Interval of the checks which peers are due a digest.
+/// Interval at which peers that are due a digest are determined.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Largest datagram that is accepted.
--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -39,8 +39,8 @@
 /// what prefill takes without faults.
 const FIRST_EVENT_STALL: Duration = Duration::from_millis(500);
 
-/// Number of sends beyond the attempts of the route that were certainly not
-/// executed.
+/// Maximum number of sends that were certainly not executed, in addition to the
+/// attempts of the route.
 const MAX_REJECTED_SENDS: u32 = 4;
 
 /// Largest response that is not a stream.
@@ -181,9 +181,9 @@
             let sends = self.may_have_run + self.rejected;
             if sends > 0 {
                 let is_exhausted = self.may_have_run > 0 && !self.ctx.route.is_idempotent();
-                let attempts = self.may_have_run >= self.ctx.route.attempts;
+                let attempts_used = self.may_have_run >= self.ctx.route.attempts;
                 if is_exhausted
-                    || attempts
+                    || attempts_used
                     || self.rejected > MAX_REJECTED_SENDS
                     || !self.take_retry(cause)
                 {
--- a/mimosafront/src/relay/plain.rs
+++ b/mimosafront/src/relay/plain.rs
@@ -23,8 +23,8 @@
 /// Largest response that is accepted.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// Number of sends beyond the attempts of the route that were certainly not
-/// executed.
+/// Maximum number of sends that were certainly not executed, in addition to the
+/// attempts of the route.
 const MAX_REJECTED_SENDS: u32 = 2;
 
 /// Multiple of the latency objective after which a response counts as lost, if
@@ -116,8 +116,8 @@
     RequestError::Refused(RefusalReason::Late, "deadline passed", FULL_RETRY_AFTER)
 }
 
-/// Sends the request to one endpoint; `can_retry` says whether it may be sent
-/// elsewhere if no good response comes.
+/// Sends the request to one endpoint; `can_retry` tells whether it may be
+/// sent elsewhere without a good response.
 async fn send(ctx: &RequestContext, hop: &Hop, attempt: u32, can_retry: bool) -> SendOutcome {
     let state = &ctx.state;
     state.fleet.borrow_mut().take(hop);
