--- a/mimosafront/tests/world/endpoints.rs
+++ b/mimosafront/tests/cluster/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoints of a world: their entries in the store and what they saw.
+//! Endpoints of a test cluster: their entries in the store, and a record of the
+//! requests they received.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,40 +12,40 @@
 use super::plain::{self, Plain};
 use super::proxy::Proxy;
 use super::store::Store;
-use super::{HEARTBEAT, LAYERS, Plan, zone};
+use super::{ClusterOptions, HEARTBEAT_INTERVAL, LAYERS, zone};
 
-/// What endpoints saw of one request.
+/// What endpoints recorded about one request.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Times that it ran.
+pub struct RequestTrace {
+    /// Number of executions.
     pub runs: usize,
-    /// When it last reached an endpoint.
+    /// When the request last reached an endpoint.
     pub last: Option<Instant>,
-    /// Team that the router named.
+    /// Team named by the router.
     pub team: Option<String>,
     /// Whether the client's key reached an endpoint.
     pub key_leaked: bool,
-    /// Method, path and body as they arrived.
+    /// Method, path and body as received.
     pub call: String,
-    /// Events made.
+    /// Number of events generated.
     pub events: usize,
 }
 
-/// How an endpoint behaves.
+/// Behavior of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
-    Well,
-    /// Answers nothing and says nothing.
-    Dark,
-    /// Fails every request though it says that it is well.
+    Healthy,
+    /// Answers no requests and sends no heartbeats.
+    Unresponsive,
+    /// Fails every request though it reports to be healthy.
     Failing,
-    /// Runs requests and closes the connection.
-    LosesAnswers,
+    /// Executes requests and closes the connection without a response.
+    DropsResponses,
     /// Gives no report, and its streams pause for most of a second.
     Stuck,
 }
 
-/// An endpoint's entry, and how it behaves.
+/// A test endpoint, with its directory entry and behavior.
 pub struct Member {
     pub id: String,
     pub service: &'static str,
@@ -56,9 +57,9 @@
 pub struct State {
     pub health: Health,
     pub draining: bool,
-    pub gone: bool,
-    pub born: u64,
-    pub beats: u64,
+    pub removed: bool,
+    pub incarnation: u64,
+    pub heartbeats: u64,
     pub layers: Option<(u16, u16)>,
     pub orders: u64,
     pub busy: bool,
@@ -66,11 +67,11 @@
 
 pub struct Endpoints {
     pub members: Vec<Arc<Member>>,
-    pub seen: Mutex<HashMap<String, Seen>>,
-    /// What must never happen, as it was seen.
+    pub traces: Mutex<HashMap<String, RequestTrace>>,
+    /// Violations of invariants, as observed by endpoints.
     pub violations: Mutex<Vec<String>>,
-    pub running: Mutex<HashMap<String, Vec<engine::Part>>>,
-    pub plan: Plan,
+    pub running: Mutex<HashMap<String, Vec<engine::Hop>>>,
+    pub options: ClusterOptions,
 }
 
 impl Member {
@@ -82,58 +83,59 @@
         self.proxy.address()
     }
 
-    /// Whether it works and holds these layers.
+    /// Whether the endpoint responds and holds these layers.
     pub fn holds(&self, from: u16, to: u16) -> bool {
         let state = self.state();
-        state.health != Health::Dark && state.layers.is_some_and(|(a, b)| a <= from && to <= b)
+        state.health != Health::Unresponsive
+            && state.layers.is_some_and(|(a, b)| a <= from && to <= b)
     }
 
-    /// It starts again: it holds nothing and knows nothing of before.
+    /// Restarts the endpoint, which loses its layers and all state.
     pub fn restart(&self) {
         let mut state = self.state();
-        state.born += 1;
+        state.incarnation += 1;
         state.layers = None;
         state.orders = 0;
         state.busy = false;
-        state.health = Health::Well;
-        state.gone = false;
+        state.health = Health::Healthy;
+        state.removed = false;
         state.draining = false;
     }
 }
 
 impl Endpoints {
-    pub async fn start(store: Arc<Store>, address: Ipv4Addr, plan: Plan) -> Arc<Self> {
+    pub async fn start(store: Arc<Store>, address: Ipv4Addr, options: ClusterOptions) -> Arc<Self> {
         let mut members = Vec::new();
-        for z in 0..plan.zones {
-            for n in 0..plan.engines_per_zone {
+        for z in 0..options.zones {
+            for n in 0..options.engines_per_zone {
                 members.push(("model", zone(z), format!("engine-{z}-{n}")));
             }
             members.push(("register", zone(z), format!("register-{z}")));
         }
-        let mut made = Vec::new();
+        let mut started = Vec::new();
         let mut listeners = Vec::new();
         for (service, zone, id) in members {
             let listener = tokio::net::TcpListener::bind((address, 0)).await.unwrap();
             let proxy = Proxy::start(address, listener.local_addr().unwrap()).await;
             let state = State {
-                health: Health::Well,
+                health: Health::Healthy,
                 draining: false,
-                gone: false,
-                born: 1_700_000_000_000,
-                beats: 0,
+                removed: false,
+                incarnation: 1_700_000_000_000,
+                heartbeats: 0,
                 layers: None,
                 orders: 0,
                 busy: false,
             };
-            made.push(Arc::new(Member { id, service, zone, proxy, state: Mutex::new(state) }));
+            started.push(Arc::new(Member { id, service, zone, proxy, state: Mutex::new(state) }));
             listeners.push(listener);
         }
         let endpoints = Arc::new(Self {
-            members: made,
-            seen: Mutex::default(),
+            members: started,
+            traces: Mutex::default(),
             violations: Mutex::default(),
             running: Mutex::default(),
-            plan,
+            options,
         });
         for (member, listener) in endpoints.members.iter().zip(listeners) {
             let (endpoints, member) = (endpoints.clone(), member.clone());
@@ -142,7 +144,7 @@
                 _ => tokio::spawn(plain::serve(Plain { endpoints, member }, listener)),
             };
         }
-        tokio::spawn(beat(endpoints.clone(), store));
+        tokio::spawn(send_heartbeats(endpoints.clone(), store));
         endpoints
     }
 
@@ -158,7 +160,7 @@
         self.members.iter().find(|member| member.address() == address)
     }
 
-    /// Whether each zone holds every layer.
+    /// Whether every zone holds every layer.
     pub fn is_placed(&self, zones: usize) -> bool {
         (0..zones).all(|z| {
             let zone = zone(z);
@@ -167,12 +169,12 @@
         })
     }
 
-    pub fn seen(&self, id: &str) -> Seen {
-        self.seen.lock().unwrap().get(id).cloned().unwrap_or_default()
+    pub fn trace(&self, id: &str) -> RequestTrace {
+        self.traces.lock().unwrap().get(id).cloned().unwrap_or_default()
     }
 
-    pub fn note(&self, id: &str, change: impl FnOnce(&mut Seen)) {
-        change(self.seen.lock().unwrap().entry(id.to_owned()).or_default());
+    pub fn update_trace(&self, id: &str, change: impl FnOnce(&mut RequestTrace)) {
+        change(self.traces.lock().unwrap().entry(id.to_owned()).or_default());
     }
 
     pub fn violation(&self, what: String) {
@@ -180,30 +182,30 @@
     }
 }
 
-/// Registers the endpoints again and again.
-async fn beat(endpoints: Arc<Endpoints>, store: Arc<Store>) {
+/// Renews the registrations of the endpoints at each heartbeat.
+async fn send_heartbeats(endpoints: Arc<Endpoints>, store: Arc<Store>) {
     loop {
         for member in &endpoints.members {
             let mut state = member.state();
-            if state.gone {
+            if state.removed {
                 store.remove("servers", &member.id);
                 continue;
             }
-            if state.health == Health::Dark {
+            if state.health == Health::Unresponsive {
                 continue;
             }
-            state.beats += 1;
+            state.heartbeats += 1;
             let layers =
                 state.layers.map(|(from, to)| json!({"from": from, "to": to, "version": 1}));
             let entry = json!({
                 "service": member.service, "address": member.address(), "zone": member.zone,
                 "version": "v1", "slots": 64, "cold_remaining_ms": 0,
                 "state": if state.draining { "draining" } else { "ready" },
-                "sequence": state.beats, "born": state.born, "kind": "card", "layers": layers,
+                "sequence": state.heartbeats, "born": state.incarnation, "kind": "card", "layers": layers,
             });
             drop(state);
             store.put("servers", &member.id, &entry);
         }
-        tokio::time::sleep(HEARTBEAT).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
--- a/mimosafront/tests/world/engine.rs
+++ b/mimosafront/tests/cluster/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine that passes activations on: chains, orders, streams.
+//! A model engine that is one hop of a chain: orders, reports and streams.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,17 +19,17 @@
 use super::LAYERS;
 use super::endpoints::{Endpoints, Health, Member};
 
-/// Time that work waits for a dead part before it is cut off.
-const STALL: Duration = Duration::from_millis(2_500);
+/// Time for which a request waits for a dead hop before it is aborted.
+const STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Pause of a stream at an endpoint that is stuck.
-const STUCK: Duration = Duration::from_millis(800);
+/// Pause of a stream at a stuck endpoint.
+const STUCK_PAUSE: Duration = Duration::from_millis(800);
 
-/// Time to load layers.
-const LOAD: Duration = Duration::from_millis(100);
+/// Time that loading layers takes.
+const LOAD_TIME: Duration = Duration::from_millis(100);
 
-/// A part of a chain: where, and its layers.
-pub type Part = (SocketAddr, u16, u16);
+/// A hop of a chain: its address and range of layers.
+pub type Hop = (SocketAddr, u16, u16);
 type Reply = Response<BoxBody<Bytes, std::io::Error>>;
 
 #[derive(Clone)]
@@ -52,7 +52,7 @@
     }
 }
 
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
@@ -69,7 +69,7 @@
 impl Engine {
     async fn answer(&self, request: Request<Incoming>) -> Reply {
         let health = self.member.state().health;
-        if health == Health::Dark {
+        if health == Health::Unresponsive {
             std::future::pending::<()>().await;
         }
         let (head, body) = request.into_parts();
@@ -88,7 +88,7 @@
         let state = self.member.state();
         let layers = state.layers.map(|(from, to)| json!({"from": from, "to": to, "version": 1}));
         let body = json!({"stage": "both", "busy": state.busy, "sequence": state.orders,
-            "born": state.born, "waiting": 0, "running": 0, "cache_used": 0,
+            "born": state.incarnation, "waiting": 0, "running": 0, "cache_used": 0,
             "cache_total": 1_000_000, "layers": layers, "pace": 1.0, "stalled": []});
         reply(200, &[], &body.to_string())
     }
@@ -111,11 +111,11 @@
         state.orders += 1;
         state.busy = true;
         state.layers = None;
-        let (member, born) = (self.member.clone(), state.born);
+        let (member, incarnation) = (self.member.clone(), state.incarnation);
         tokio::spawn(async move {
-            tokio::time::sleep(LOAD).await;
+            tokio::time::sleep(LOAD_TIME).await;
             let mut state = member.state();
-            if state.born == born {
+            if state.incarnation == incarnation {
                 state.layers = Some(layers);
                 state.busy = false;
             }
@@ -125,8 +125,8 @@
 
     fn reroute(&self, order: &Value) -> Reply {
         let (id, path) = (order["id"].as_str().unwrap(), order["path"].as_str().unwrap());
-        let path = parse(path);
-        if let Some((address, ..)) = path.iter().find(|part| !self.holds(part)) {
+        let path = parse_chain(path);
+        if let Some((address, ..)) = path.iter().find(|hop| !self.holds(hop)) {
             return reply(409, &[], &json!({"address": address}).to_string());
         }
         let mut running = self.endpoints.running.lock().unwrap();
@@ -137,18 +137,18 @@
         reply(200, &[], "{}")
     }
 
-    fn holds(&self, part: &Part) -> bool {
-        let member = self.endpoints.at(part.0);
-        member.is_some_and(|member| member.holds(part.1, part.2) && !member.state().draining)
+    fn holds(&self, hop: &Hop) -> bool {
+        let member = self.endpoints.at(hop.0);
+        member.is_some_and(|member| member.holds(hop.1, hop.2) && !member.state().draining)
     }
 
     async fn run(&self, headers: &HeaderMap, path: &str, body: &[u8]) -> Reply {
-        let id = text(headers, "request-id").unwrap_or_default().to_owned();
-        if text(headers, "target-instance") != Some(&self.member.id) {
+        let id = header_text(headers, "request-id").unwrap_or_default().to_owned();
+        if header_text(headers, "target-instance") != Some(&self.member.id) {
             return reply(421, &[("not-executed", "1")], "{}");
         }
-        let parts = parse(text(headers, "hop-count").unwrap_or_default());
-        if let Some((address, ..)) = parts.iter().find(|part| !self.holds(part)) {
+        let hops = parse_chain(header_text(headers, "hop-count").unwrap_or_default());
+        if let Some((address, ..)) = hops.iter().find(|hop| !self.holds(hop)) {
             let at = address.to_string();
             return reply(
                 503,
@@ -156,26 +156,27 @@
                 "{}",
             );
         }
-        if !is_whole(&parts) || parts[0].0 != self.member.address() {
-            self.endpoints.violation(format!("{id}: chain {parts:?}"));
+        if !is_complete_chain(&hops) || hops[0].0 != self.member.address() {
+            self.endpoints.violation(format!("{id}: chain {hops:?}"));
         }
-        self.endpoints.note(&id, |seen| {
-            seen.runs += 1;
-            seen.last = Some(Instant::now());
-            seen.team = text(headers, "tenant").map(str::to_owned);
-            seen.key_leaked |= headers.contains_key("authorization");
-            seen.call = format!("{path} {}", String::from_utf8_lossy(body));
+        self.endpoints.update_trace(&id, |trace| {
+            trace.runs += 1;
+            trace.last = Some(Instant::now());
+            trace.team = header_text(headers, "tenant").map(str::to_owned);
+            trace.key_leaked |= headers.contains_key("authorization");
+            trace.call = format!("{path} {}", String::from_utf8_lossy(body));
         });
         if self.member.state().health == Health::Failing {
             return reply(500, &[("request-id", &id), ("response-signature", "s")], "failed");
         }
-        let after: u64 = text(headers, "last-event-id").and_then(|e| e.parse().ok()).unwrap_or(0);
-        let counts = text(headers, "token-counts").unwrap_or("0,40");
+        let after: u64 =
+            header_text(headers, "last-event-id").and_then(|e| e.parse().ok()).unwrap_or(0);
+        let counts = header_text(headers, "token-counts").unwrap_or("0,40");
         let output: u64 = counts.split(',').nth(1).unwrap().trim().parse().unwrap();
-        self.endpoints.running.lock().unwrap().insert(id.clone(), parts);
-        let (sender, pieces) = mpsc::channel(1);
+        self.endpoints.running.lock().unwrap().insert(id.clone(), hops);
+        let (sender, chunks) = mpsc::channel(1);
         tokio::spawn(self.clone().stream(id.clone(), after, output / 4, sender));
-        let mut response = Response::new(Pieces(pieces).boxed());
+        let mut response = Response::new(ChunkedBody(chunks).boxed());
         let headers = response.headers_mut();
         headers.insert("request-id", id.parse().unwrap());
         headers.insert("response-signature", format!("sig-{id}").parse().unwrap());
@@ -183,68 +184,71 @@
         response
     }
 
-    /// Makes the events after `after`, each of which passes every part.
-    async fn stream(self, id: String, after: u64, total: u64, to: mpsc::Sender<Piece>) {
+    /// Generates the events after `after`, each of which passes through every
+    /// hop.
+    async fn stream(self, id: String, after: u64, total: u64, to: mpsc::Sender<Chunk>) {
         for event in after + 1..=total {
-            tokio::time::sleep(self.endpoints.plan.event).await;
+            tokio::time::sleep(self.endpoints.options.event_interval).await;
             if self.member.state().health == Health::Stuck && event == after + 6 {
-                tokio::time::sleep(STUCK).await;
+                tokio::time::sleep(STUCK_PAUSE).await;
             }
             let waited = Instant::now();
-            while !self.passes(&id) {
-                if waited.elapsed() > STALL || self.member.state().health == Health::Dark {
+            while !self.is_chain_alive(&id) {
+                if waited.elapsed() > STALL_TIMEOUT
+                    || self.member.state().health == Health::Unresponsive
+                {
                     return;
                 }
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
-            if self.member.state().health == Health::LosesAnswers && event > after + 2 {
+            if self.member.state().health == Health::DropsResponses && event > after + 2 {
                 return;
             }
             let data = format!("id: {event}\ndata: {id} {event}/{total}\n\n");
             if to.send(Some(data.into())).await.is_err() {
-                self.endpoints.note(&id, |seen| seen.last = Some(Instant::now()));
+                self.endpoints.update_trace(&id, |trace| trace.last = Some(Instant::now()));
                 return;
             }
-            self.endpoints.note(&id, |seen| seen.events += 1);
+            self.endpoints.update_trace(&id, |trace| trace.events += 1);
         }
         drop(to.send(None).await);
     }
 
-    /// Whether every part of a request's chain works, this one included.
-    fn passes(&self, id: &str) -> bool {
-        let parts = self.endpoints.running.lock().unwrap()[id].clone();
-        let alive = |part: &Part| {
-            self.endpoints.at(part.0).is_some_and(|m| {
+    /// Whether every hop of the chain of a request is alive, this one included.
+    fn is_chain_alive(&self, id: &str) -> bool {
+        let hops = self.endpoints.running.lock().unwrap()[id].clone();
+        let alive = |hop: &Hop| {
+            self.endpoints.at(hop.0).is_some_and(|m| {
                 let state = m.state();
-                state.health != Health::Dark && !state.gone && state.layers.is_some()
+                state.health != Health::Unresponsive && !state.removed && state.layers.is_some()
             })
         };
-        is_whole(&parts) && parts.iter().all(alive)
+        is_complete_chain(&hops) && hops.iter().all(alive)
     }
 }
 
-/// Whether the parts run every layer once and in order.
-fn is_whole(parts: &[Part]) -> bool {
+/// Whether the hops run every layer once and in order.
+fn is_complete_chain(hops: &[Hop]) -> bool {
     let mut next = 0;
-    parts.iter().all(|(_, from, to)| std::mem::replace(&mut next, *to) == *from) && next == LAYERS
+    hops.iter().all(|(_, from, to)| std::mem::replace(&mut next, *to) == *from) && next == LAYERS
 }
 
-fn parse(path: &str) -> Vec<Part> {
-    let part = |text: &str| {
+fn parse_chain(path: &str) -> Vec<Hop> {
+    let hop = |text: &str| {
         let (address, layers) = text.split_once('=').unwrap();
         let (from, to) = layers.split_once('-').unwrap();
         (address.parse().unwrap(), from.parse().unwrap(), to.parse().unwrap())
     };
-    path.split(',').filter(|text| !text.is_empty()).map(part).collect()
+    path.split(',').filter(|text| !text.is_empty()).map(hop).collect()
 }
 
-/// A piece of a stream; `None` is its end, and without it the connection is
-/// closed in the middle.
-type Piece = Option<Bytes>;
+/// A chunk of a stream; `None` ends it, and without it the connection is closed
+/// in mid-stream.
+type Chunk = Option<Bytes>;
 
-struct Pieces(mpsc::Receiver<Piece>);
+struct ChunkedBody(mpsc::Receiver<Chunk>);
 
-impl Body for Pieces {
+impl Body for ChunkedBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -252,7 +256,7 @@
         mut self: std::pin::Pin<&mut Self>,
         cx: &mut std::task::Context<'_>,
     ) -> std::task::Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
-        self.0.poll_recv(cx).map(|piece| match piece {
+        self.0.poll_recv(cx).map(|chunk| match chunk {
             Some(Some(data)) => Some(Ok(Frame::data(data))),
             Some(None) => None,
             None => Some(Err(std::io::ErrorKind::ConnectionReset.into())),
--- a/mimosafront/tests/world/mod.rs
+++ b/mimosafront/tests/cluster/mod.rs
@@ -1,7 +1,6 @@
-//! What stands around routers: store, endpoints, clients, and the routers as
-//! processes.
+//! Test cluster: routers as processes, with a store, endpoints and clients.
 
-#![allow(dead_code)] // Each test program uses a part of it.
+#![allow(dead_code)] // Each test binary uses only some of the items.
 
 pub mod client;
 pub mod endpoints;
@@ -19,7 +18,7 @@
 use serde_json::{Value, json};
 use tokio::runtime::Runtime;
 
-use client::Ask;
+use client::TestRequest;
 use endpoints::Endpoints;
 use proxy::Proxy;
 use router::Router;
@@ -30,50 +29,50 @@
 pub const OTHER_KEY: &str = "key-of-liaison";
 pub const TEAM: &str = "officers";
 
-/// Time for something that happens by itself; far above what it takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for an expected state; far above what it takes.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time between two heartbeats of an endpoint.
-pub const HEARTBEAT: Duration = Duration::from_millis(250);
+/// Interval of the heartbeats of an endpoint.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Layers of the model.
 pub const LAYERS: u16 = 8;
 
-/// Numbers worlds, so that each has loopback addresses of its own.
-static WORLDS: AtomicU16 = AtomicU16::new(0);
+/// Numbers clusters, so that each has its own loopback addresses.
+static CLUSTERS: AtomicU16 = AtomicU16::new(0);
 
-/// How a world is made.
+/// Size and timing of a cluster.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct ClusterOptions {
     pub routers: usize,
     pub zones: usize,
     pub engines_per_zone: usize,
     /// Time between two events of a stream.
-    pub event: Duration,
+    pub event_interval: Duration,
     /// Memory of an engine, in MB; a layer with its cache takes 250.
     pub card_mb: u32,
 }
 
-impl Default for Plan {
+impl Default for ClusterOptions {
     fn default() -> Self {
         Self {
             routers: 2,
             zones: 2,
             engines_per_zone: 3,
-            event: Duration::from_millis(20),
+            event_interval: Duration::from_millis(20),
             card_mb: 1_000,
         }
     }
 }
 
-/// Routers and what stands around them.
-pub struct World {
+/// Routers, and the store and endpoints that they use.
+pub struct TestCluster {
     pub runtime: Runtime,
     pub store: Arc<Store>,
     pub endpoints: Arc<Endpoints>,
     pub routers: Vec<Router>,
-    /// Between each router and the store.
-    pub links: Vec<Arc<Proxy>>,
+    /// Proxies between each router and the store.
+    pub store_proxies: Vec<Arc<Proxy>>,
     pub revision: u64,
     network: Ipv4Addr,
 }
@@ -82,82 +81,84 @@
     format!("zone-{}", (b'a' + number as u8) as char)
 }
 
-impl World {
-    /// A world whose routers are ready and whose layers are placed.
-    pub fn start(plan: Plan) -> Self {
-        let mut world = Self::prepare(plan);
-        for number in 0..plan.routers {
-            world.start_router(number, number % plan.zones);
+impl TestCluster {
+    /// Starts a cluster; its routers are ready and its layers are placed.
+    pub fn start(options: ClusterOptions) -> Self {
+        let mut cluster = Self::prepare(options);
+        for number in 0..options.routers {
+            cluster.start_router(number, number % options.zones);
         }
-        world.wait_until("layers are placed", |world| world.endpoints.is_placed(plan.zones));
-        world.wait_until("routers are ready and know the layers", |world| {
-            world.routers.iter().all(|router| {
-                let draft = Ask::draft(2);
-                let told = world.runtime.block_on(draft.send(router.clients));
-                told.is_some_and(|told| told.status == 200)
-                    && world.runtime.block_on(router.is_ready())
+        cluster
+            .wait_until("layers are placed", |cluster| cluster.endpoints.is_placed(options.zones));
+        cluster.wait_until("routers are ready and know the layers", |cluster| {
+            cluster.routers.iter().all(|router| {
+                let draft = TestRequest::draft(2);
+                let response = cluster.runtime.block_on(draft.send(router.clients));
+                response.is_some_and(|response| response.status == 200)
+                    && cluster.runtime.block_on(router.is_ready())
             })
         });
-        world
+        cluster
     }
 
-    /// Store and endpoints without routers.
-    pub fn prepare(plan: Plan) -> Self {
-        let number = WORLDS.fetch_add(1, Ordering::Relaxed);
-        let process = std::process::id();
-        let network = Ipv4Addr::new(127, 64 + (number % 64) as u8, (process % 250) as u8, 0);
+    /// Starts a store and endpoints without routers.
+    pub fn prepare(options: ClusterOptions) -> Self {
+        let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
+        let process_id = std::process::id();
+        let network = Ipv4Addr::new(127, 64 + (number % 64) as u8, (process_id % 250) as u8, 0);
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
             .enable_all()
             .build()
             .unwrap();
-        let store = runtime.block_on(Store::start(host(network, 250)));
-        let endpoints = runtime.block_on(Endpoints::start(store.clone(), host(network, 200), plan));
-        let mut world = Self {
+        let store = runtime.block_on(Store::start(host_address(network, 250)));
+        let endpoints =
+            runtime.block_on(Endpoints::start(store.clone(), host_address(network, 200), options));
+        let mut cluster = Self {
             runtime,
             store,
             endpoints,
             routers: Vec::new(),
-            links: Vec::new(),
+            store_proxies: Vec::new(),
             revision: 0,
             network,
         };
-        world.configure(&[(TEAM, &[KEY]), ("liaison", &[OTHER_KEY])]);
-        world
+        cluster.configure(&[(TEAM, &[KEY]), ("liaison", &[OTHER_KEY])]);
+        cluster
     }
 
     pub fn start_router(&mut self, number: usize, zone_number: usize) {
-        let seeds: Vec<_> = (0..3).map(|n| host(self.network, 10 + n)).collect();
-        let address = host(self.network, 10 + number as u8);
+        let seeds: Vec<_> = (0..3).map(|n| host_address(self.network, 10 + n)).collect();
+        let address = host_address(self.network, 10 + number as u8);
         let link = self.runtime.block_on(Proxy::start(address, self.store.address()));
         let router = Router::start(number, &zone(zone_number), address, &seeds, link.address());
-        self.links.push(link);
+        self.store_proxies.push(link);
         self.routers.push(router);
     }
 
     /// Writes the next configuration, with these teams and their keys.
     pub fn configure(&mut self, teams: &[(&str, &[&str])]) -> u64 {
         self.revision += 3;
-        let config = configuration(self.revision, teams, self.endpoints.plan.card_mb);
+        let config = configuration_json(self.revision, teams, self.endpoints.options.card_mb);
         self.store.put("op", "config", &config);
         self.revision
     }
 
-    pub fn wait_until(&self, what: &str, mut holds: impl FnMut(&Self) -> bool) {
-        let end = Instant::now() + PATIENCE;
-        while !holds(self) {
-            assert!(Instant::now() < end, "not in time: {what}");
+    pub fn wait_until(&self, what: &str, mut condition: impl FnMut(&Self) -> bool) {
+        let end = Instant::now() + WAIT_TIMEOUT;
+        while !condition(self) {
+            assert!(Instant::now() < end, "timed out waiting until {what}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 }
 
-fn host(network: Ipv4Addr, last: u8) -> Ipv4Addr {
+fn host_address(network: Ipv4Addr, last: u8) -> Ipv4Addr {
     let [a, b, c, _] = network.octets();
     Ipv4Addr::new(a, b, c, last)
 }
 
-fn configuration(revision: u64, teams: &[(&str, &[&str])], card_mb: u32) -> Value {
+fn configuration_json(revision: u64, teams: &[(&str, &[&str])], card_mb: u32) -> Value {
     let route = |name: &str, kind: &str, service: &str| {
         json!({
             "name": name, "host": HOST, "prefix": format!("/{name}/"), "kind": kind,
--- a/mimosafront/tests/world/plain.rs
+++ b/mimosafront/tests/cluster/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service: a register of postings.
+//! A service without an engine: a register of postings.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,10 +11,10 @@
 use tokio::net::TcpListener;
 
 use super::endpoints::{Endpoints, Health, Member};
-use super::engine::{reply, text};
+use super::engine::{header_text, reply};
 
-/// Time that a request takes.
-const WORK: Duration = Duration::from_millis(10);
+/// Service time of a request.
+const SERVICE_TIME: Duration = Duration::from_millis(10);
 
 #[derive(Clone)]
 pub struct Plain {
@@ -35,17 +35,17 @@
     }
 }
 
-/// The connection is closed without an answer.
+/// Closes the connection without a response.
 #[derive(Debug)]
-struct Lost;
+struct DroppedConnection;
 
-impl std::fmt::Display for Lost {
+impl std::fmt::Display for DroppedConnection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("answer lost")
+        f.write_str("connection closed without a response")
     }
 }
 
-impl std::error::Error for Lost {}
+impl std::error::Error for DroppedConnection {}
 
 impl Plain {
     async fn answer(
@@ -53,32 +53,32 @@
         request: Request<Incoming>,
     ) -> Result<
         hyper::Response<http_body_util::combinators::BoxBody<hyper::body::Bytes, std::io::Error>>,
-        Lost,
+        DroppedConnection,
     > {
         let health = self.member.state().health;
-        if health == Health::Dark {
+        if health == Health::Unresponsive {
             std::future::pending::<()>().await;
         }
         let (head, body) = request.into_parts();
         let body = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
-        let id = text(&head.headers, "request-id").unwrap_or_default().to_owned();
-        if text(&head.headers, "target-instance") != Some(&self.member.id) {
+        let id = header_text(&head.headers, "request-id").unwrap_or_default().to_owned();
+        if header_text(&head.headers, "target-instance") != Some(&self.member.id) {
             return Ok(reply(421, &[("not-executed", "1")], "{}"));
         }
-        self.endpoints.note(&id, |seen| {
-            seen.runs += 1;
-            seen.last = Some(Instant::now());
-            seen.team = text(&head.headers, "tenant").map(str::to_owned);
-            seen.key_leaked |= head.headers.contains_key("authorization");
-            seen.call = format!("{} {} {}", head.method, head.uri, String::from_utf8_lossy(&body));
+        self.endpoints.update_trace(&id, |trace| {
+            trace.runs += 1;
+            trace.last = Some(Instant::now());
+            trace.team = header_text(&head.headers, "tenant").map(str::to_owned);
+            trace.key_leaked |= head.headers.contains_key("authorization");
+            trace.call = format!("{} {} {}", head.method, head.uri, String::from_utf8_lossy(&body));
         });
-        tokio::time::sleep(WORK).await;
+        tokio::time::sleep(SERVICE_TIME).await;
         match health {
-            Health::LosesAnswers => Err(Lost),
+            Health::DropsResponses => Err(DroppedConnection),
             Health::Failing => {
                 Ok(reply(500, &[("request-id", &id), ("response-signature", "s")], "failed"))
             }
-            Health::Well | Health::Dark | Health::Stuck => {
+            Health::Healthy | Health::Unresponsive | Health::Stuck => {
                 let signature = format!("sig-{id}");
                 let headers = [("request-id", &*id), ("response-signature", &*signature)];
                 Ok(reply(200, &headers, &format!("answer to {id}")))
--- a/mimosafront/tests/world/proxy.rs
+++ b/mimosafront/tests/cluster/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that breaks what passes through it.
+//! A loopback proxy that injects network faults.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -9,27 +9,27 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What the proxy does to connections.
+/// State of the link that the proxy simulates.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Link {
+pub enum LinkState {
     Up,
-    /// Every piece is late by this time.
+    /// Delays all data by this time.
     Delayed(Duration),
-    /// Open connections are closed, and so are new ones.
+    /// Closes open connections and refuses new ones.
     Reset,
-    /// Nothing passes towards the server.
-    CutForth,
-    /// Nothing passes towards the caller.
-    CutBack,
-    /// Nothing passes; new connections open and stay silent as well.
+    /// Blocks data to the server.
+    BlockedToServer,
+    /// Blocks data to the client.
+    BlockedToClient,
+    /// Blocks all data; new connections are accepted but stay silent as well.
     Silent,
 }
 
 pub struct Proxy {
     address: SocketAddr,
-    link: watch::Sender<Link>,
-    /// Connections opened before this count changed stay silent for good.
-    retired: watch::Sender<u64>,
+    state: watch::Sender<LinkState>,
+    /// Incremented to stall all connections opened before, permanently.
+    generation: watch::Sender<u64>,
 }
 
 impl Proxy {
@@ -37,8 +37,8 @@
         let listener = TcpListener::bind((address, 0)).await.unwrap();
         let proxy = Arc::new(Self {
             address: listener.local_addr().unwrap(),
-            link: watch::channel(Link::Up).0,
-            retired: watch::channel(0).0,
+            state: watch::channel(LinkState::Up).0,
+            generation: watch::channel(0).0,
         });
         let serving = proxy.clone();
         tokio::spawn(async move {
@@ -54,50 +54,50 @@
         self.address
     }
 
-    pub fn set(&self, link: Link) {
-        self.link.send_replace(link);
+    pub fn set(&self, link: LinkState) {
+        self.state.send_replace(link);
     }
 
-    /// Open connections go silent for good; new ones work.
-    pub fn retire(&self) {
-        self.retired.send_modify(|count| *count += 1);
+    /// Stalls all open connections permanently; new ones work.
+    pub fn stall_open_connections(&self) {
+        self.generation.send_modify(|count| *count += 1);
     }
 
     async fn relay(self: Arc<Self>, stream: TcpStream, to: SocketAddr) {
-        if *self.link.borrow() == Link::Reset {
+        if *self.state.borrow() == LinkState::Reset {
             return;
         }
         let Ok(server) = TcpStream::connect(to).await else { return };
         drop((stream.set_nodelay(true), server.set_nodelay(true)));
-        let (from_caller, to_caller) = stream.into_split();
+        let (from_client, to_client) = stream.into_split();
         let (from_server, to_server) = server.into_split();
-        let mut link = self.link.subscribe();
-        let forth = self.copy(from_caller, to_server, Link::CutForth);
-        let back = self.copy(from_server, to_caller, Link::CutBack);
+        let mut link = self.state.subscribe();
+        let upstream = self.copy(from_client, to_server, LinkState::BlockedToServer);
+        let downstream = self.copy(from_server, to_client, LinkState::BlockedToClient);
         tokio::select! {
-            () = forth => {}
-            () = back => {}
-            _ = link.wait_for(|link| *link == Link::Reset) => {}
+            () = upstream => {}
+            () = downstream => {}
+            _ = link.wait_for(|link| *link == LinkState::Reset) => {}
         }
     }
 
-    async fn copy(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, cut: Link) {
+    async fn copy(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, blocking: LinkState) {
         let mut buffer = vec![0; 16 * 1024];
-        let mut link = self.link.subscribe();
-        let age = *self.retired.borrow();
+        let mut link = self.state.subscribe();
+        let opened_in = *self.generation.borrow();
         loop {
             let length = match from.read(&mut buffer).await {
                 Ok(length) if length > 0 => length,
                 _ => return,
             };
-            let passes = |link: &Link| *link != cut && *link != Link::Silent;
-            // The sender lives as long as the proxy.
-            drop(link.wait_for(passes).await);
-            if *self.retired.borrow() != age {
+            let may_pass = |link: &LinkState| *link != blocking && *link != LinkState::Silent;
+            // The sender lives as long as the proxy, so this cannot fail.
+            drop(link.wait_for(may_pass).await);
+            if *self.generation.borrow() != opened_in {
                 std::future::pending::<()>().await;
             }
-            let now = *link.borrow();
-            if let Link::Delayed(time) = now {
+            let state = *link.borrow();
+            if let LinkState::Delayed(time) = state {
                 tokio::time::sleep(time).await;
             }
             if to.write_all(&buffer[..length]).await.is_err() {
--- a/mimosafront/tests/world/router.rs
+++ b/mimosafront/tests/cluster/router.rs
@@ -1,4 +1,4 @@
-//! A router as a process.
+//! A router process.
 
 use std::fs::File;
 use std::io::Read;
@@ -11,15 +11,15 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-use super::HEARTBEAT;
-use super::PATIENCE;
-use super::client::Ask;
+use super::HEARTBEAT_INTERVAL;
+use super::WAIT_TIMEOUT;
+use super::client::TestRequest;
 
-/// Time from SIGTERM until the platform would kill.
-pub const GRACE: Duration = Duration::from_secs(6);
+/// Grace period between SIGTERM and SIGKILL.
+pub const GRACE_PERIOD: Duration = Duration::from_secs(6);
 
-/// Time for which a key that was taken away may still be used.
-pub const REVOCATION: Duration = Duration::from_secs(3);
+/// Time limit within which a revoked key stops being accepted.
+pub const REVOCATION_BOUND: Duration = Duration::from_secs(3);
 
 pub struct Router {
     pub name: String,
@@ -28,10 +28,11 @@
     metrics: SocketAddr,
     folder: PathBuf,
     child: Option<Child>,
-    starts: usize,
+    start_count: usize,
 }
 
-/// Ports are the same on all machines; these are free on this one.
+/// Every machine of a deployment uses the same ports; returns some that are
+/// free on this one.
 fn ports() -> [u16; 5] {
     static PORTS: OnceLock<[u16; 5]> = OnceLock::new();
     *PORTS.get_or_init(|| {
@@ -67,9 +68,9 @@
              bounds.budget_extra_retries=200\nbounds.drain_ms=1000\nbounds.stall_ms=2500\n\
              bounds.fencing_required=false\n",
             seeds.join(","),
-            HEARTBEAT.as_millis(),
-            GRACE.as_secs(),
-            REVOCATION.as_millis(),
+            HEARTBEAT_INTERVAL.as_millis(),
+            GRACE_PERIOD.as_secs(),
+            REVOCATION_BOUND.as_millis(),
         );
         std::fs::write(folder.join("settings.conf"), settings).unwrap();
         let mut router = Self {
@@ -79,21 +80,21 @@
             metrics: (address, metrics).into(),
             folder,
             child: None,
-            starts: 0,
+            start_count: 0,
         };
         router.restart();
         router
     }
 
-    /// Starts the process again; its log goes on in another file.
+    /// Restarts the process with a new log file.
     pub fn restart(&mut self) {
-        self.starts += 1;
+        self.start_count += 1;
         let log = File::create(self.log_path()).unwrap();
         self.child = Some(self.command().stdout(log).spawn().unwrap());
     }
 
-    /// Starts the process again with a log that nobody reads.
-    pub fn restart_unread(&mut self) {
+    /// Restarts the process with its log on a pipe that is never read.
+    pub fn restart_with_unread_log(&mut self) {
         self.stop(Signal::SIGKILL);
         self.child = Some(self.command().stdout(Stdio::piped()).spawn().unwrap());
     }
@@ -104,19 +105,19 @@
             .arg("--metrics")
             .arg(self.metrics.to_string())
             .env("MIMOSASHIFT_SETTINGS", self.folder.join("settings.conf"))
-            .stderr(File::create(self.folder.join(format!("err-{}", self.starts))).unwrap());
+            .stderr(File::create(self.folder.join(format!("err-{}", self.start_count))).unwrap());
         command
     }
 
     fn log_path(&self) -> PathBuf {
-        self.folder.join(format!("log-{}", self.starts))
+        self.folder.join(format!("log-{}", self.start_count))
     }
 
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// What it has logged since its last start.
+    /// Log since the last start.
     pub fn log(&self) -> String {
         let mut text = String::new();
         File::open(self.log_path()).unwrap().read_to_string(&mut text).unwrap();
@@ -129,16 +130,16 @@
         }
     }
 
-    /// Signals the process and waits for its end.
+    /// Signals the process and waits for it to exit.
     pub fn stop(&mut self, signal: Signal) -> Option<i32> {
         self.signal(signal);
         let mut child = self.child.take()?;
-        let end = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = child.try_wait().unwrap() {
                 return status.code();
             }
-            assert!(Instant::now() < end, "{} does not end", self.name);
+            assert!(Instant::now() < deadline, "{} did not exit", self.name);
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -148,13 +149,13 @@
     }
 
     pub async fn is_ready(&self) -> bool {
-        let ask = Ask::new(hyper::Method::GET, "/api/readiness");
-        ask.send(self.ready).await.is_some_and(|told| told.status == 200)
+        let request = TestRequest::new(hyper::Method::GET, "/api/readiness");
+        request.send(self.ready).await.is_some_and(|response| response.status == 200)
     }
 
     pub async fn metrics(&self) -> String {
-        let ask = Ask::new(hyper::Method::GET, "/metrics");
-        ask.send(self.metrics).await.map(|told| told.body).unwrap_or_default()
+        let request = TestRequest::new(hyper::Method::GET, "/metrics");
+        request.send(self.metrics).await.map(|response| response.body).unwrap_or_default()
     }
 }
 
--- a/mimosafront/tests/world/store.rs
+++ b/mimosafront/tests/cluster/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, as its protocol describes it.
+//! A stand-in for the store of the platform, according to its protocol.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -17,18 +17,18 @@
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 
-/// How the store treats its callers.
+/// Behavior of the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Mode {
+pub enum StoreMode {
     Up,
-    /// Answers 503 to all.
+    /// Answers every request with status 503.
     Busy,
-    /// Carries writes out and does not answer them.
-    LosesAnswers,
-    /// Answers after this time.
+    /// Executes writes without sending a response.
+    DropsResponses,
+    /// Answers after this delay.
     Slow(Duration),
-    /// Has no history: 410 to every request for changes.
-    Forgetful,
+    /// Keeps no change history: status 410 for every request for changes.
+    NoHistory,
 }
 
 #[derive(Default)]
@@ -40,7 +40,7 @@
 
 pub struct Store {
     rows: Mutex<Rows>,
-    mode: Mutex<Mode>,
+    mode: Mutex<StoreMode>,
     address: SocketAddr,
 }
 
@@ -48,7 +48,8 @@
     pub async fn start(address: Ipv4Addr) -> Arc<Self> {
         let listener = TcpListener::bind((address, 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let store = Arc::new(Self { rows: Mutex::default(), mode: Mutex::new(Mode::Up), address });
+        let store =
+            Arc::new(Self { rows: Mutex::default(), mode: Mutex::new(StoreMode::Up), address });
         let serving = store.clone();
         tokio::spawn(async move {
             loop {
@@ -67,7 +68,7 @@
         self.address
     }
 
-    pub fn set(&self, mode: Mode) {
+    pub fn set(&self, mode: StoreMode) {
         *self.mode.lock().unwrap() = mode;
     }
 
@@ -101,10 +102,10 @@
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let mode = *self.mode.lock().unwrap();
-        if mode == Mode::Busy {
+        if mode == StoreMode::Busy {
             return Ok(reply(503, &json!({})));
         }
-        if let Mode::Slow(time) = mode {
+        if let StoreMode::Slow(time) = mode {
             tokio::time::sleep(time).await;
         }
         let (head, body) = request.into_parts();
@@ -117,12 +118,12 @@
         };
         let (status, body) = match head.uri.path() {
             "/api/rows-get" => self.rows(&query("table"), None),
-            "/api/rows-feed" if mode == Mode::Forgetful => (410, json!({})),
+            "/api/rows-feed" if mode == StoreMode::NoHistory => (410, json!({})),
             "/api/rows-feed" => self.rows(&query("table"), query("after").parse().ok()),
             "/api/rows-tx" => self.transact(&body),
             _ => (404, json!({})),
         };
-        if mode == Mode::LosesAnswers && head.uri.path() == "/api/rows-tx" {
+        if mode == StoreMode::DropsResponses && head.uri.path() == "/api/rows-tx" {
             std::future::pending::<()>().await;
         }
         Ok(reply(status, &body))
@@ -130,19 +131,22 @@
 
     fn rows(&self, table: &str, after: Option<u64>) -> (u16, Value) {
         let rows = self.rows.lock().unwrap();
-        let of = |(key, (version, value)): (&(String, String), &(u64, Vec<u8>))| {
+        let to_json = |(key, (version, value)): (&(String, String), &(u64, Vec<u8>))| {
             json!({"table": key.0, "part": "", "key": key.1, "record_version": version,
                 "value": STANDARD.encode(value)})
         };
-        let newer = |version: u64| after.is_none_or(|after| version > after);
-        let held = rows.rows.iter().filter(|((t, _), (v, _))| t == table && newer(*v)).map(of);
-        let gone =
-            rows.deleted.iter().filter(|((t, _), v)| after.is_some() && t == table && newer(**v));
-        let gone = gone.map(|((table, key), version)| {
+        let is_newer = |version: u64| after.is_none_or(|after| version > after);
+        let present =
+            rows.rows.iter().filter(|((t, _), (v, _))| t == table && is_newer(*v)).map(to_json);
+        let deletions = rows
+            .deleted
+            .iter()
+            .filter(|((t, _), v)| after.is_some() && t == table && is_newer(**v));
+        let deletions = deletions.map(|((table, key), version)| {
             json!({"table": table, "part": "", "key": key, "record_version": version,
                 "deleted": true})
         });
-        let all: Vec<_> = held.chain(gone).collect();
+        let all: Vec<_> = present.chain(deletions).collect();
         (
             200,
             json!({"rows": all, "truncated": false, "record_version": rows.version,
--- a/mimosafront/tests/soak.rs
+++ b/mimosafront/tests/soak.rs
@@ -1,9 +1,10 @@
-//! A randomized soak: routers as processes, faults from outside that overlap,
-//! and promises that are checked by what clients and endpoints saw.
+//! Randomized soak test: router processes under overlapping injected faults.
+//! Invariants are checked against what clients and endpoints observed.
 //!
-//! `SOAK_SEEDS=1..50` and `SOAK_SECONDS=20` choose the seeds and the length.
+//! Set `SOAK_SEEDS=1..50` and `SOAK_SECONDS=20` to choose the seeds and the
+//! duration.
 
-mod world;
+mod cluster;
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -13,101 +14,106 @@
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 
-use world::client::{Ask, Connection, Told};
-use world::endpoints::Health;
-use world::proxy::Link;
-use world::router::REVOCATION;
-use world::store::Mode;
-use world::{KEY, OTHER_KEY, Plan, TEAM, World};
+use cluster::client::{Connection, TestRequest, TestResponse};
+use cluster::endpoints::Health;
+use cluster::proxy::LinkState;
+use cluster::router::REVOCATION_BOUND;
+use cluster::store::StoreMode;
+use cluster::{ClusterOptions, KEY, OTHER_KEY, TEAM, TestCluster};
 
-/// Seeds that failed once, with the cause.
+/// Seeds that have failed before, with the cause.
 const REGRESSIONS: [(u64, &str); 0] = [];
 
-/// Seeds that are run when none are named.
-const SEEDS: std::ops::Range<u64> = 1..3;
+/// Seeds that run by default.
+const DEFAULT_SEEDS: std::ops::Range<u64> = 1..3;
 
-/// Length of the faults when none is named.
-const SECONDS: u64 = 8;
+/// Default duration of fault injection.
+const DEFAULT_SECONDS: u64 = 8;
 
-/// Clients that send at the same time.
+/// Number of concurrent clients.
 const CLIENTS: usize = 8;
 
-/// One request and what the client was told.
-struct Sent {
-    ask: Ask,
-    at: Instant,
-    told: Option<Told>,
+/// One request and its response, as seen by the client.
+struct SentRequest {
+    request: TestRequest,
+    sent_at: Instant,
+    response: Option<TestResponse>,
 }
 
-type History = Arc<Mutex<Vec<Sent>>>;
+type History = Arc<Mutex<Vec<SentRequest>>>;
 
 #[test]
-fn promises_hold_while_things_break() {
+fn invariants_hold_under_random_faults() {
     let named = std::env::var("SOAK_SEEDS").ok();
-    let seeds = named.as_deref().map_or(SEEDS, |text| {
+    let seeds = named.as_deref().map_or(DEFAULT_SEEDS, |text| {
         let (from, to) = text.split_once("..").expect("SOAK_SEEDS is FROM..TO");
         from.parse().unwrap()..to.parse().unwrap()
     });
-    let seconds = std::env::var("SOAK_SECONDS").map_or(SECONDS, |text| text.parse().unwrap());
+    let seconds =
+        std::env::var("SOAK_SECONDS").map_or(DEFAULT_SECONDS, |text| text.parse().unwrap());
     for seed in REGRESSIONS.iter().map(|(seed, _)| *seed).chain(seeds) {
-        let faults = soak(seed, Duration::from_secs(seconds));
-        assert!(faults.is_empty(), "seed {seed}: {faults:#?}");
+        let violations = soak(seed, Duration::from_secs(seconds));
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
 
-fn soak(seed: u64, length: Duration) -> Vec<String> {
+fn soak(seed: u64, duration: Duration) -> Vec<String> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let plan = Plan { routers: 3, ..Plan::default() };
-    let mut world = World::start(plan);
+    let options = ClusterOptions { routers: 3, ..ClusterOptions::default() };
+    let mut cluster = TestCluster::start(options);
     let history = History::default();
     let stop = Arc::new(Mutex::new(false));
-    let routers: Vec<_> = world.routers.iter().map(|router| router.clients).collect();
+    let routers: Vec<_> = cluster.routers.iter().map(|router| router.clients).collect();
     for client in 0..CLIENTS {
         let (history, stop, routers) = (history.clone(), stop.clone(), routers.clone());
         let rng = StdRng::seed_from_u64(seed * 1_000 + client as u64);
-        world.runtime.spawn(keep_asking(history, stop, routers, rng));
+        cluster.runtime.spawn(send_requests(history, stop, routers, rng));
     }
-    let end = Instant::now() + length;
+    let end = Instant::now() + duration;
     let mut revoked = None;
-    let mut pending: Vec<(Instant, Undo)> = Vec::new();
+    let mut pending: Vec<(Instant, Repair)> = Vec::new();
     while Instant::now() < end {
-        let (undo, time) = disturb(&mut world, &mut rng, &mut revoked);
-        pending.push((Instant::now() + time, undo));
+        let (repair, time) = inject_fault(&mut cluster, &mut rng, &mut revoked);
+        pending.push((Instant::now() + time, repair));
         let pause = Duration::from_millis(rng.random_range(100..900));
         std::thread::sleep(pause);
-        pending = settle(&mut world, pending, Instant::now());
+        pending = apply_due_repairs(&mut cluster, pending, Instant::now());
     }
     std::thread::sleep(Duration::from_millis(500));
-    settle(&mut world, pending, Instant::now() + Duration::from_secs(3_600));
-    let mut faults = recovery(&mut world);
+    apply_due_repairs(&mut cluster, pending, Instant::now() + Duration::from_secs(3_600));
+    let mut violations = check_recovery(&mut cluster);
     *stop.lock().unwrap() = true;
     std::thread::sleep(Duration::from_secs(7));
-    faults.extend(world.endpoints.violations.lock().unwrap().drain(..));
-    faults.extend(check(&world, &history.lock().unwrap(), revoked));
-    println!("seed {seed}: {} requests, {} faults", history.lock().unwrap().len(), faults.len());
-    faults
+    violations.extend(cluster.endpoints.violations.lock().unwrap().drain(..));
+    violations.extend(check_history(&cluster, &history.lock().unwrap(), revoked));
+    println!(
+        "seed {seed}: {} requests, {} violations",
+        history.lock().unwrap().len(),
+        violations.len()
+    );
+    violations
 }
 
-async fn keep_asking(
+async fn send_requests(
     history: History,
     stop: Arc<Mutex<bool>>,
     routers: Vec<std::net::SocketAddr>,
     mut rng: StdRng,
 ) {
-    let mut kept: Option<Connection> = None;
+    let mut persistent: Option<Connection> = None;
     while !*stop.lock().unwrap() {
-        let mut ask = match rng.random_range(0..3) {
-            0 => Ask::draft(rng.random_range(1..40)),
-            1 => Ask::post(),
-            _ => Ask::read(),
+        let mut request = match rng.random_range(0..3) {
+            0 => TestRequest::draft(rng.random_range(1..40)),
+            1 => TestRequest::post(),
+            _ => TestRequest::read(),
         };
-        ask.key = [KEY, OTHER_KEY].choose(&mut rng).unwrap().to_string();
-        let at = Instant::now();
-        let told = match kept.take() {
+        request.key = [KEY, OTHER_KEY].choose(&mut rng).unwrap().to_string();
+        let sent_at = Instant::now();
+        let response = match persistent.take() {
             Some(mut connection) => {
-                let told = connection.send(&ask).await;
-                kept = told.is_some().then_some(connection);
-                told
+                let response = connection.send(&request).await;
+                persistent = response.is_some().then_some(connection);
+                response
             }
             None => {
                 let to = *routers.choose(&mut rng).unwrap();
@@ -117,9 +123,9 @@
                 );
                 match connecting.await {
                     Ok(Ok(stream)) => {
-                        kept = Connection::new(stream).await;
-                        match &mut kept {
-                            Some(connection) => connection.send(&ask).await,
+                        persistent = Connection::new(stream).await;
+                        match &mut persistent {
+                            Some(connection) => connection.send(&request).await,
                             None => None,
                         }
                     }
@@ -127,112 +133,120 @@
                 }
             }
         };
-        history.lock().unwrap().push(Sent { ask, at, told });
+        history.lock().unwrap().push(SentRequest { request, sent_at, response });
         tokio::time::sleep(Duration::from_millis(rng.random_range(5..60))).await;
     }
 }
 
-/// How a fault ends.
-enum Undo {
+/// How an injected fault is repaired.
+enum Repair {
     Nothing,
     Restart(usize),
     Continue(usize),
-    Link(usize),
+    StoreLink(usize),
     Store,
     Endpoint(String),
 }
 
-/// Breaks something at random; returns how and when it is mended.
-fn disturb(world: &mut World, rng: &mut StdRng, revoked: &mut Option<Instant>) -> (Undo, Duration) {
+/// Injects a random fault; returns its repair and when it is due.
+fn inject_fault(
+    cluster: &mut TestCluster,
+    rng: &mut StdRng,
+    revoked: &mut Option<Instant>,
+) -> (Repair, Duration) {
     let time = Duration::from_millis(rng.random_range(200..3_500));
-    let router = rng.random_range(0..world.routers.len());
+    let router = rng.random_range(0..cluster.routers.len());
     let links = [
-        Link::Delayed(Duration::from_millis(150)),
-        Link::Reset,
-        Link::CutForth,
-        Link::CutBack,
-        Link::Silent,
+        LinkState::Delayed(Duration::from_millis(150)),
+        LinkState::Reset,
+        LinkState::BlockedToServer,
+        LinkState::BlockedToClient,
+        LinkState::Silent,
     ];
     let link = *links.choose(rng).unwrap();
-    let member = world.endpoints.members.choose(rng).unwrap().clone();
-    let undo = match rng.random_range(0..10) {
-        0 if world.routers[router].is_running() => {
-            world.routers[router].stop(Signal::SIGKILL);
-            Undo::Restart(router)
+    let member = cluster.endpoints.members.choose(rng).unwrap().clone();
+    let repair = match rng.random_range(0..10) {
+        0 if cluster.routers[router].is_running() => {
+            cluster.routers[router].stop(Signal::SIGKILL);
+            Repair::Restart(router)
         }
         1 => {
-            world.routers[router].signal(Signal::SIGTERM);
-            Undo::Restart(router)
+            cluster.routers[router].signal(Signal::SIGTERM);
+            Repair::Restart(router)
         }
         2 => {
-            world.routers[router].signal(Signal::SIGSTOP);
-            Undo::Continue(router)
+            cluster.routers[router].signal(Signal::SIGSTOP);
+            Repair::Continue(router)
         }
         3 | 4 => {
-            world.links[router].set(link);
-            Undo::Link(router)
+            cluster.store_proxies[router].set(link);
+            Repair::StoreLink(router)
         }
         5 => {
             let modes = [
-                Mode::Busy,
-                Mode::LosesAnswers,
-                Mode::Forgetful,
-                Mode::Slow(Duration::from_millis(300)),
+                StoreMode::Busy,
+                StoreMode::DropsResponses,
+                StoreMode::NoHistory,
+                StoreMode::Slow(Duration::from_millis(300)),
             ];
-            world.store.set(*modes.choose(rng).unwrap());
-            Undo::Store
+            cluster.store.set(*modes.choose(rng).unwrap());
+            Repair::Store
         }
         6 => {
-            member.proxy.retire();
-            Undo::Nothing
+            member.proxy.stall_open_connections();
+            Repair::Nothing
         }
         7 => {
             member.proxy.set(link);
-            Undo::Endpoint(member.id.clone())
+            Repair::Endpoint(member.id.clone())
         }
         8 => {
-            let healths = [Health::Dark, Health::Failing, Health::LosesAnswers];
+            let healths = [Health::Unresponsive, Health::Failing, Health::DropsResponses];
             member.state().health = *healths.choose(rng).unwrap();
-            Undo::Endpoint(member.id.clone())
+            Repair::Endpoint(member.id.clone())
         }
         _ => {
             if revoked.is_none() {
-                world.configure(&[(TEAM, &[KEY])]);
+                cluster.configure(&[(TEAM, &[KEY])]);
                 *revoked = Some(Instant::now());
             } else {
-                world.configure(&[(TEAM, &[KEY])]);
+                cluster.configure(&[(TEAM, &[KEY])]);
             }
-            Undo::Nothing
+            Repair::Nothing
         }
     };
-    (undo, time)
+    (repair, time)
 }
 
-/// Mends what is due and returns the rest.
-fn settle(world: &mut World, pending: Vec<(Instant, Undo)>, now: Instant) -> Vec<(Instant, Undo)> {
+/// Applies the repairs that are due and returns the others.
+fn apply_due_repairs(
+    cluster: &mut TestCluster,
+    pending: Vec<(Instant, Repair)>,
+    now: Instant,
+) -> Vec<(Instant, Repair)> {
     let (due, rest): (Vec<_>, Vec<_>) = pending.into_iter().partition(|(at, _)| *at <= now);
-    for (_, undo) in due {
-        match undo {
-            Undo::Nothing => {}
-            Undo::Restart(router) => {
-                let router = &mut world.routers[router];
-                // It may have been stopped or killed in the meantime.
+    for (_, repair) in due {
+        match repair {
+            Repair::Nothing => {}
+            Repair::Restart(router) => {
+                let router = &mut cluster.routers[router];
+                // The router may have been stopped or killed in the meantime.
                 if router.is_running() {
                     router.signal(Signal::SIGCONT);
                     router.stop(Signal::SIGTERM);
                 }
                 router.restart();
             }
-            Undo::Continue(router) => world.routers[router].signal(Signal::SIGCONT),
-            Undo::Link(router) => world.links[router].set(Link::Up),
-            Undo::Store => world.store.set(Mode::Up),
-            Undo::Endpoint(id) => {
-                let member = world.endpoints.get(&id);
-                member.proxy.set(Link::Up);
+            Repair::Continue(router) => cluster.routers[router].signal(Signal::SIGCONT),
+            Repair::StoreLink(router) => cluster.store_proxies[router].set(LinkState::Up),
+            Repair::Store => cluster.store.set(StoreMode::Up),
+            Repair::Endpoint(id) => {
+                let member = cluster.endpoints.get(&id);
+                member.proxy.set(LinkState::Up);
                 let health = member.state().health;
                 match health {
-                    Health::Dark => member.restart(),
-                    _ => member.state().health = Health::Well,
+                    Health::Unresponsive => member.restart(),
+                    _ => member.state().health = Health::Healthy,
                 }
             }
         }
@@ -240,52 +254,62 @@
     rest
 }
 
-/// Whether every router serves every kind again.
-fn recovery(world: &mut World) -> Vec<String> {
-    let end = Instant::now() + world::PATIENCE;
-    let mut faults = Vec::new();
-    for router in 0..world.routers.len() {
-        for make in [|| Ask::draft(5), Ask::post, Ask::read] {
+/// Checks that every router serves every kind of request again.
+fn check_recovery(cluster: &mut TestCluster) -> Vec<String> {
+    let end = Instant::now() + cluster::WAIT_TIMEOUT;
+    let mut violations = Vec::new();
+    for router in 0..cluster.routers.len() {
+        for make in [|| TestRequest::draft(5), TestRequest::post, TestRequest::read] {
             let mut served = false;
             while !served && Instant::now() < end {
-                let told = world.runtime.block_on(make().send(world.routers[router].clients));
-                served = told.is_some_and(|told| told.status == 200 && told.whole);
+                let response =
+                    cluster.runtime.block_on(make().send(cluster.routers[router].clients));
+                served =
+                    response.is_some_and(|response| response.status == 200 && response.complete);
                 std::thread::sleep(Duration::from_millis(50));
             }
             if !served {
-                faults.push(format!("{} does not serve again", world.routers[router].name));
+                violations.push(format!(
+                    "{} does not serve requests after recovery",
+                    cluster.routers[router].name
+                ));
             }
         }
     }
-    faults
+    violations
 }
 
-/// What clients were told, held against what endpoints saw.
-fn check(world: &World, history: &[Sent], revoked: Option<Instant>) -> Vec<String> {
-    let mut faults = Vec::new();
-    for Sent { ask, at, told } in history {
-        let seen = world.endpoints.seen(&ask.id);
-        let mut fault = |what: String| faults.push(format!("{} {}: {what}", ask.id, ask.path));
-        if ask.path.starts_with("/post/") && seen.runs > 1 {
-            fault(format!("ran {} times", seen.runs));
+/// Checks the responses that clients received against what endpoints recorded.
+fn check_history(
+    cluster: &TestCluster,
+    history: &[SentRequest],
+    revoked: Option<Instant>,
+) -> Vec<String> {
+    let mut violations = Vec::new();
+    for SentRequest { request, sent_at, response } in history {
+        let trace = cluster.endpoints.trace(&request.id);
+        let mut record =
+            |text: String| violations.push(format!("{} {}: {text}", request.id, request.path));
+        if request.path.starts_with("/post/") && trace.runs > 1 {
+            record(format!("executed {} times", trace.runs));
         }
-        if seen.key_leaked {
-            fault("an endpoint got the key".to_owned());
+        if trace.key_leaked {
+            record("client key reached an endpoint".to_owned());
         }
-        let late = |revoked: Instant| at.saturating_duration_since(revoked) > REVOCATION;
-        if ask.key == OTHER_KEY && seen.runs > 0 && revoked.is_some_and(late) {
-            fault("ran with a key that was taken away".to_owned());
+        let late = |revoked: Instant| sent_at.saturating_duration_since(revoked) > REVOCATION_BOUND;
+        if request.key == OTHER_KEY && trace.runs > 0 && revoked.is_some_and(late) {
+            record("executed with a revoked key".to_owned());
         }
-        let Some(told) = told else { continue };
-        if let Some(wrong) = told.fault(ask) {
-            fault(wrong);
+        let Some(response) = response else { continue };
+        if let Some(wrong) = response.protocol_error(request) {
+            record(wrong);
         }
-        if [408, 421, 429, 503].contains(&told.status) && seen.runs > 0 {
-            fault(format!("told {}, ran {} times", told.status, seen.runs));
+        if [408, 421, 429, 503].contains(&response.status) && trace.runs > 0 {
+            record(format!("status {}, executed {} times", response.status, trace.runs));
         }
-        if told.status == 404 || told.status == 401 && ask.key == KEY {
-            fault(format!("told {}", told.status));
+        if response.status == 404 || response.status == 401 && request.key == KEY {
+            record(format!("unexpected status {}", response.status));
         }
     }
-    faults
+    violations
 }
