--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -25,7 +25,7 @@
 
 /// Interval of the checks whether the peer that reads the store on behalf of
 /// this router has the same state.
-const FOLLOW_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time after which a router reads the store itself, whatever its peers have
 /// seen: bounds the effect of a lost gossip datagram.
@@ -49,10 +49,11 @@
     let mut last_direct_read = Instant::ZERO;
     loop {
         let started = clock::now();
-        if started < last_direct_read + DIRECT_READ_INTERVAL && is_config_followed(&state, started)
+        if started < last_direct_read + DIRECT_READ_INTERVAL
+            && reader_has_same_config(&state, started)
         {
             tokio::select! {
-                () = tokio::time::sleep(FOLLOW_CHECK_INTERVAL) => continue,
+                () = tokio::time::sleep(READER_CHECK_INTERVAL) => continue,
                 () = state.config_refresh.notified() => {}
             }
         }
@@ -96,14 +97,14 @@
 
 /// Whether the peer that reads the store on behalf of this router has the same
 /// configuration, so that its digests confirm it.
-fn is_config_followed(state: &RouterState, now: Instant) -> bool {
+fn reader_has_same_config(state: &RouterState, now: Instant) -> bool {
     let peers = state.peers.borrow();
-    let followed = peers.reader(&state.node().name, now).and_then(|peer| peer.digest.config);
-    followed.is_some_and(|followed| followed.revision == state.revision())
+    let reader_config = peers.reader(&state.node().name, now).and_then(|peer| peer.digest.config);
+    reader_config.is_some_and(|reader_config| reader_config.revision == state.revision())
 }
 
 /// Whether that peer has recently read the same directory.
-fn is_directory_followed(state: &RouterState, now: Instant) -> bool {
+fn reader_has_same_directory(state: &RouterState, now: Instant) -> bool {
     let peers = state.peers.borrow();
     let Some(peer) = peers.reader(&state.node().name, now) else { return false };
     let Some(seen) = peer.digest.directory else { return false };
@@ -141,9 +142,9 @@
     loop {
         let started = clock::now();
         if started < last_direct_read + DIRECT_READ_INTERVAL
-            && is_directory_followed(&state, started)
+            && reader_has_same_directory(&state, started)
         {
-            tokio::time::sleep(FOLLOW_CHECK_INTERVAL).await;
+            tokio::time::sleep(READER_CHECK_INTERVAL).await;
             continue;
         }
         last_direct_read = started;
--- a/mimosafront/src/main.rs
+++ b/mimosafront/src/main.rs
@@ -14,7 +14,7 @@
 const EXIT_START_FAILED: u8 = 1;
 
 /// Exit code when the settings are invalid.
-const EXIT_USAGE: u8 = 2;
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// Exit code when the shutdown grace period ended with requests still in
 /// flight.
@@ -28,7 +28,7 @@
     let flags = Mimosafront::from_env_or_exit();
     let (file, node) = match SettingsFile::open(flags.settings) {
         Ok(settings) => settings,
-        Err(error) => return exit_with(EXIT_USAGE, &error),
+        Err(error) => return exit_with(EXIT_INVALID_SETTINGS, &error),
     };
     if flags.check {
         return ExitCode::SUCCESS;
--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -251,8 +251,8 @@
     fn is_returning(&self, service: &str) -> bool {
         let now = clock::now();
         let fleet = self.state.fleet.borrow();
-        let mut of = fleet.members().filter(|m| &*m.endpoint.service == service);
-        of.any(|member| member.returned().is_some_and(|at| now.since(at) < RETURN_PERIOD))
+        let mut members = fleet.members().filter(|m| &*m.endpoint.service == service);
+        members.any(|member| member.returned().is_some_and(|at| now.since(at) < RETURN_PERIOD))
     }
 
     fn plan_moves(&self, service: &str, engine: &Engine) -> Vec<Move> {
@@ -281,8 +281,8 @@
 
     fn all_empty(&self, service: &str) -> bool {
         let fleet = self.state.fleet.borrow();
-        let mut of = fleet.members().filter(|m| &*m.endpoint.service == service);
-        of.all(|member| member.endpoint.layers.is_none())
+        let mut members = fleet.members().filter(|m| &*m.endpoint.service == service);
+        members.all(|member| member.endpoint.layers.is_none())
     }
 
     /// Whether no endpoint has joined recently.
@@ -326,12 +326,12 @@
         let state = self.state.clone();
         state.meter.orders(1);
         emit!(state.log, Event::OrderSent, "endpoint" => &*hop.id, "layers" => hop.layers.to_string(), "after" => after, "fencing_token" => token.0);
-        let ordering = async {
+        let response = async {
             let mut exchange = state.pool.send(hop.address, call, false).await.ok()?;
             let body = exchange.collect(64 * 1024).await.ok()?;
             Some(wire::ordered(exchange.head.status(), &body))
         };
-        match timeout(ORDER_TIMEOUT, ordering).await.ok().flatten() {
+        match timeout(ORDER_TIMEOUT, response).await.ok().flatten() {
             Some(Ordered::Taken) => {}
             Some(Ordered::Refused { status, .. }) => {
                 emit!(state.log, Event::OrderRefused, "endpoint" => &*hop.id, "status" => status);
--- a/mimosafront/src/relay/model/stall.rs
+++ b/mimosafront/src/relay/model/stall.rs
@@ -121,12 +121,12 @@
     async fn send_reroute(&self, first: &Hop, chain: &Chain) -> Ordered {
         let order = Order::Reroute { id: &self.ctx.id, chain };
         let call = wire::order_call(first.address, &first.id, &order);
-        let ordering = async {
+        let response = async {
             let mut exchange = self.state().pool.send(first.address, call, false).await.ok()?;
             let body = exchange.collect(MAX_ANSWER_BYTES).await.ok()?;
             Some(wire::ordered(exchange.head.status(), &body))
         };
-        let ordered = timeout(ORDER_TIMEOUT, ordering).await.ok().flatten();
+        let ordered = timeout(ORDER_TIMEOUT, response).await.ok().flatten();
         let ordered = ordered.unwrap_or(Ordered::Unknown);
         let to: Vec<_> = chain.iter().map(|hop| format!("{}:{}", hop.id, hop.layers)).collect();
         let answer = format!("{ordered:?}");
--- a/mimosafront/tests/cluster/mod.rs
+++ b/mimosafront/tests/cluster/mod.rs
@@ -130,9 +130,9 @@
     pub fn start_router(&mut self, number: usize, zone_number: usize) {
         let seeds: Vec<_> = (0..3).map(|n| host_address(self.network, 10 + n)).collect();
         let address = host_address(self.network, 10 + number as u8);
-        let link = self.runtime.block_on(Proxy::start(address, self.store.address()));
-        let router = Router::start(number, &zone(zone_number), address, &seeds, link.address());
-        self.store_proxies.push(link);
+        let proxy = self.runtime.block_on(Proxy::start(address, self.store.address()));
+        let router = Router::start(number, &zone(zone_number), address, &seeds, proxy.address());
+        self.store_proxies.push(proxy);
         self.routers.push(router);
     }
 
--- a/mimosafront/tests/end_to_end.rs
+++ b/mimosafront/tests/end_to_end.rs
@@ -267,11 +267,11 @@
     send_until_served(&cluster, 0, || TestRequest::draft(2));
     let first = engines_in_use(&cluster, true)[0].clone();
     cluster.endpoints.get(&first).proxy.set(LinkState::Reset);
-    let found = |line: &&str| {
+    let is_reported = |line: &&str| {
         line.contains("MS0515") && line.contains("\"dead\":true") && line.contains(&first)
     };
     cluster.wait_until("the endpoint is known to be dead", |cluster| {
-        cluster.routers[0].log().lines().any(|line| found(&line))
+        cluster.routers[0].log().lines().any(|line| is_reported(&line))
     });
 }
 
