--- a/mimosafront/src/relay/model/stall.rs
+++ b/mimosafront/src/relay/model/stall.rs
@@ -138,7 +138,7 @@
 /// The hops of a chain at which a request is stuck.
 #[derive(Default)]
 pub(super) struct FaultyHops {
-    /// Hops that give no report, or for which other hops report to be waiting.
+    /// Hops that give no report, or that other hops report to be waiting for.
     pub(super) dead: SmallVec<[Hop; 4]>,
     /// Hops that report to be far slower than expected of their accelerator.
     pub(super) slow: SmallVec<[Hop; 4]>,
--- a/mimosafront/tests/cluster/proxy.rs
+++ b/mimosafront/tests/cluster/proxy.rs
@@ -15,7 +15,7 @@
     Up,
     /// Delays all data by this time.
     Delayed(Duration),
-    /// Closes open connections and refuses new ones.
+    /// Closes open connections, and new ones at once.
     Reset,
     /// Blocks data to the server.
     BlockedToServer,
