--- a/mimosashift/src/route/cost.rs
+++ b/mimosashift/src/route/cost.rs
@@ -77,7 +77,8 @@
         // A sequence occupies a slot only while it is at this stage.
         let concurrent = 1.0 + condition.sequences as f32 * self.share;
         let batch_size = (concurrent.ceil() as u32).min(self.slots);
-        let step_us = self.layer_us * condition.service_factor * time_model::batch_weight(batch_size);
+        let step_us =
+            self.layer_us * condition.service_factor * time_model::batch_weight(batch_size);
         let layer_us = f64::from(step_us * work.steps);
         let slots = f64::from(self.slots);
         let free_slots = slots * (1.0 - settings.reserved_share);
@@ -103,7 +104,8 @@
     }
 
     fn link_us(&self, work: &Work) -> f32 {
-        let transfer_us = |bytes| time_model::link_us(self.one_way_us, bytes, self.bytes_per_second);
+        let transfer_us =
+            |bytes| time_model::link_us(self.one_way_us, bytes, self.bytes_per_second);
         transfer_us(work.prompt_bytes) + work.decode_steps * transfer_us(work.decode_bytes)
     }
 }
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use mimosashift::admit::pressure::{MAX_WAIT, MemoryPressure};
-use mimosashift::freshness::{Freshness, PeerConfirmation};
 use mimosashift::deployment::{Denied, Deployment, Kind, Limits, Route, Service, Team};
+use mimosashift::freshness::{Freshness, PeerConfirmation};
 use mimosashift::peer::{Config, Digest, Event, Peers};
 use mimosashift::pipeline::retry::{Window, WindowLimits};
 use mimosashift::stream::Events;
--- a/mimosashift/tests/route.rs
+++ b/mimosashift/tests/route.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use mimosashift::health::{Condition, Availability, View};
+use mimosashift::health::{Availability, Condition, HealthView};
 use mimosashift::resource::{Kind, Layers, Name, Resource, Snapshot, Spec};
 use mimosashift::route::affinity::{self, Affinity, Event};
 use mimosashift::route::{
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 struct Health(HashMap<Name, Condition>);
 
-impl View for Health {
+impl HealthView for Health {
     fn condition(&self, endpoint: &Name, _now: Instant) -> Condition {
         self.0.get(endpoint).copied().unwrap_or(Condition::IDLE)
     }
@@ -335,11 +335,11 @@
 #[test]
 fn single_live_endpoint_is_found_among_many() {
     let (pipeline, mut rng) = (name("p"), rng(1));
-    for standing in [Availability::Slow, Availability::Unreachable, Availability::Leaving] {
+    for availability in [Availability::Slow, Availability::Unreachable, Availability::Leaving] {
         let mut scenario = Scenario::aligned(2, 500, 3, &mut rng);
         for (key, condition) in &mut scenario.health.0 {
             if !["e7", "e8"].contains(&key.as_str()) {
-                condition.availability = standing;
+                condition.availability = availability;
             }
         }
         let choice = scenario.choose(&route_request(&pipeline), &mut rng).unwrap();
@@ -505,17 +505,14 @@
 }
 
 fn conditions() -> impl Strategy<Value = Condition> {
-    let standing = prop_oneof![
+    let availability = prop_oneof![
         Just(Availability::Live),
         Just(Availability::Slow),
         Just(Availability::Unreachable),
         Just(Availability::Leaving)
     ];
-    (standing, 0..60_u32, any::<bool>()).prop_map(|(availability, sequences, overloaded)| Condition {
-        standing,
-        sequences,
-        overloaded,
-        ..Condition::IDLE
+    (availability, 0..60_u32, any::<bool>()).prop_map(|(availability, sequences, overloaded)| {
+        Condition { availability, sequences, overloaded, ..Condition::IDLE }
     })
 }
 
