--- a/mimosabench/src/added.rs
+++ b/mimosabench/src/added.rs
@@ -13,7 +13,7 @@
 use mimosashift::engine::{Failure, Input, Label, Output, RequestId, Step};
 use mimosashift::http::client::Client;
 use mimosashift::resource::{Layers, Name};
-use mimosastandin::world::{CALLER_TOKEN, MODEL, World};
+use mimosastandin::testbed::{CALLER_TOKEN, MODEL, Testbed};
 use quick_error::quick_error;
 use slog::{Discard, Logger, o};
 
@@ -32,8 +32,8 @@
     #[derive(Debug)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
-        /// The world did not start.
-        World(error: mimosastandin::world::Error) {
+        /// The testbed did not start.
+        Testbed(error: mimosastandin::testbed::Error) {
             from()
             display("{}", error)
         }
@@ -61,12 +61,12 @@
 
 /// Runs `requests` requests each way and prints the times.
 pub fn run(requests: u32) -> Result<(), Error> {
-    let world = World::start(&Logger::root(Discard, o!()))?;
-    apply(&world)?;
-    let engines = direct_chain(&world);
+    let testbed = Testbed::start(&Logger::root(Discard, o!()))?;
+    apply(&testbed)?;
+    let engines = direct_chain(&testbed);
     let adapter = Adapter::new(Arc::new(Client::new(Default::default())));
     let (mut direct, mut routed) = (Times::new(), Times::new());
-    let router = world.routers[0].callers();
+    let router = testbed.routers[0].callers();
     for request in 0..requests {
         let prompt = prompt(request);
         run_direct(&adapter, &engines, &prompt, u128::from(request), &mut direct)?;
@@ -87,14 +87,14 @@
     Ok(())
 }
 
-fn apply(world: &World) -> Result<(), Error> {
-    for (kind, name, spec) in world.resources() {
+fn apply(testbed: &Testbed) -> Result<(), Error> {
+    for (kind, name, spec) in testbed.resources() {
         // Only fast engines of the first domain, so that both ways run alike.
         if kind == "endpoint" && !(name.starts_with("almaty-a") && name.ends_with("large")) {
             continue;
         }
-        let url = format!("http://{}/api/v1/{kind}/{name}", world.routers[0].operators());
-        let bearer = format!("Bearer {}", mimosastandin::world::OPERATOR_TOKEN);
+        let url = format!("http://{}/api/v1/{kind}/{name}", testbed.routers[0].operators());
+        let bearer = format!("Bearer {}", mimosastandin::testbed::OPERATOR_TOKEN);
         let sent = ureq::put(url).header("authorization", bearer).send(spec.to_string());
         sent.map_err(|error| Error::Apply(format!("{kind} {name}: {error}")))?;
     }
@@ -102,8 +102,9 @@
 }
 
 /// The engines that the router uses too, with their layers.
-fn direct_chain(world: &World) -> Vec<(SocketAddr, Layers)> {
-    let fast = world.engines.iter().filter(|p| p.domain == "almaty-a" && p.name.ends_with("large"));
+fn direct_chain(testbed: &Testbed) -> Vec<(SocketAddr, Layers)> {
+    let fast =
+        testbed.engines.iter().filter(|p| p.domain == "almaty-a" && p.name.ends_with("large"));
     let starts = [0, 8, 16];
     let layers = |start| Layers::try_from((start, start + 8)).expect("8 layers are a range");
     fast.zip(starts).map(|(placed, start)| (placed.instance.address(), layers(start))).collect()
--- a/mimosabench/src/clients.rs
+++ b/mimosabench/src/clients.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use mimosashift::http::client::{Call, Client, Settings};
 use mimosashift::http::{Handler, Request, Responder, Server};
-use mimosastandin::world::{ANY, free_address};
+use mimosastandin::testbed::{ANY, free_address};
 use ureq::http::{Method, StatusCode};
 
 /// Bytes of each body, there and back: the activations of one token.
--- a/mimosabench/src/slopes/caller.rs
+++ b/mimosabench/src/slopes/caller.rs
@@ -12,7 +12,7 @@
 use mimosashift::{http, settings};
 use mimosastandin::engine;
 use mimosastandin::platform::Instance;
-use mimosastandin::world::ANY;
+use mimosastandin::testbed::ANY;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 use slog::{Discard, Logger, o};
--- a/mimosabench/src/slopes/config.rs
+++ b/mimosabench/src/slopes/config.rs
@@ -18,7 +18,7 @@
 use mimosashift::wire::message::Bundle;
 use mimosashift::wire::{Frame, Key, MAX_STREAM_BYTES, Message, Ring};
 use mimosastandin::platform::{Instance, Rates};
-use mimosastandin::world::ANY;
+use mimosastandin::testbed::ANY;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
--- a/mimosactl/tests/cli.rs
+++ b/mimosactl/tests/cli.rs
@@ -3,14 +3,14 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-use mimosastandin::world::{OPERATOR_TOKEN, World};
+use mimosastandin::testbed::{OPERATOR_TOKEN, Testbed};
 use serde_json::Value;
 use slog::{Discard, Logger, o};
 
 const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../examples");
 
 /// Runs the client against the first router of a world.
-fn ctl(world: &World, args: &[&str], input: &str) -> Output {
+fn ctl(world: &Testbed, args: &[&str], input: &str) -> Output {
     let server = world.routers[0].operators().to_string();
     run(&server, args, input)
 }
@@ -30,8 +30,8 @@
     child.wait_with_output().unwrap()
 }
 
-fn world() -> World {
-    World::start(&Logger::root(Discard, o!())).unwrap()
+fn world() -> Testbed {
+    Testbed::start(&Logger::root(Discard, o!())).unwrap()
 }
 
 fn code(output: &Output) -> Option<i32> {
--- a/mimosastandin/src/demo/fault.rs
+++ b/mimosastandin/src/demo/fault.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use crate::world::World;
+use crate::testbed::Testbed;
 use crate::{engine, platform};
 
 /// What to break while the sample runs.
@@ -34,9 +34,9 @@
         }
     }
 
-    /// Breaks the world so.
-    pub(super) fn set(self, world: &World) {
-        let busiest = || world.engines.iter().max_by_key(|placed| placed.instance.steps());
+    /// Breaks the testbed so.
+    pub(super) fn set(self, testbed: &Testbed) {
+        let busiest = || testbed.engines.iter().max_by_key(|placed| placed.instance.steps());
         match self {
             Self::KillStage => {
                 busiest().into_iter().for_each(|p| p.instance.set_fault(engine::Fault::Dead));
@@ -44,19 +44,19 @@
             Self::SilenceConnections => {
                 busiest().into_iter().for_each(|p| p.instance.set_fault(engine::Fault::Silent));
             }
-            Self::LoseDomain => world
+            Self::LoseDomain => testbed
                 .engines
                 .iter()
-                .filter(|placed| placed.domain == world.engines[0].domain)
+                .filter(|placed| placed.domain == testbed.engines[0].domain)
                 .for_each(|placed| placed.instance.set_fault(engine::Fault::Dead)),
-            Self::StopTable => world.platform.set_fault(platform::Fault::Down),
+            Self::StopTable => testbed.platform.set_fault(platform::Fault::Down),
         }
     }
 
-    /// Repairs the world.
-    pub(super) fn clear(world: &World) {
-        world.platform.set_fault(platform::Fault::None);
-        for placed in &world.engines {
+    /// Repairs the testbed.
+    pub(super) fn clear(testbed: &Testbed) {
+        testbed.platform.set_fault(platform::Fault::None);
+        for placed in &testbed.engines {
             placed.instance.set_fault(engine::Fault::None);
         }
     }
--- a/mimosastandin/src/demo/mod.rs
+++ b/mimosastandin/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! The local run: a world in one process and a sample of what it does.
+//! The local run: a testbed in one process and a sample of what it does.
 
 use std::io;
 
@@ -8,7 +8,7 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-use crate::world::{self, CALLER_TOKEN, OPERATOR_TOKEN, World};
+use crate::testbed::{self, CALLER_TOKEN, OPERATOR_TOKEN, Testbed};
 
 mod fault;
 mod sample;
@@ -20,8 +20,8 @@
     #[derive(Debug)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
-        /// The world did not start.
-        World(error: world::Error) {
+        /// The testbed did not start.
+        Testbed(error: testbed::Error) {
             from()
             display("{}", error)
         }
@@ -50,38 +50,38 @@
 pub fn run(plan: Plan) -> Result<(), Error> {
     let settings = Log { form: Form::Terminal, level: event::Level::Warning };
     let (log, _guard) = event::logger(&settings);
-    let world = World::start(&log)?;
-    print_addresses(&world);
-    sample::run(&world, plan.fault)?;
+    let testbed = Testbed::start(&log)?;
+    print_addresses(&testbed);
+    sample::run(&testbed, plan.fault)?;
     if plan.once {
         return Ok(());
     }
-    print_hints(&world);
+    print_hints(&testbed);
     Signals::new([SIGINT, SIGTERM])?.forever().next();
     Ok(())
 }
 
-fn print_addresses(world: &World) {
-    println!("platform   {}", world.platform.address());
-    println!("service    {}", world.service.address());
-    for placed in &world.engines {
+fn print_addresses(testbed: &Testbed) {
+    println!("platform   {}", testbed.platform.address());
+    println!("service    {}", testbed.service.address());
+    for placed in &testbed.engines {
         println!("engine     {}  {}", placed.instance.address(), placed.name);
     }
-    for (index, router) in world.routers.iter().enumerate() {
+    for (index, router) in testbed.routers.iter().enumerate() {
         let (callers, operators) = (router.callers(), router.operators());
         println!("router-{}   callers {callers}  operators {operators}", index + 1);
     }
     println!();
 }
 
-fn print_hints(world: &World) {
-    let router = &world.routers[0];
+fn print_hints(testbed: &Testbed) {
+    let router = &testbed.routers[0];
     println!("\nTry it:\n");
     println!(
         "  curl -N http://{}/v1/completions -H 'Authorization: Bearer {CALLER_TOKEN}' \\\n    \
          -d '{{\"model\": \"{}\", \"prompt\": \"Which shade?\", \"max_tokens\": 40, \"stream\": true}}'",
         router.callers(),
-        world::MODEL,
+        testbed::MODEL,
     );
     println!(
         "  MIMOSACTL_TOKEN={OPERATOR_TOKEN} cargo run --release --bin mimosactl -- \\\n    \
--- a/mimosastandin/src/demo/sample.rs
+++ b/mimosastandin/src/demo/sample.rs
@@ -11,7 +11,7 @@
 
 use super::{Error, Fault};
 use crate::oracle;
-use crate::world::{CALLER_TOKEN, LAYERS, MODEL, OPERATOR_TOKEN, World};
+use crate::testbed::{CALLER_TOKEN, LAYERS, MODEL, OPERATOR_TOKEN, Testbed};
 
 /// Longest wait for a change to be in force.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(10);
@@ -24,8 +24,8 @@
 const TOKENS: u32 = 40;
 
 /// Runs every step.
-pub(super) fn run(world: &World, fault: Option<Fault>) -> Result<(), Error> {
-    let sample = Sample { world, client: Client::new(Default::default()) };
+pub(super) fn run(testbed: &Testbed, fault: Option<Fault>) -> Result<(), Error> {
+    let sample = Sample { testbed, client: Client::new(Default::default()) };
     sample.configure()?;
     sample.complete()?;
     sample.post_twice()?;
@@ -37,14 +37,14 @@
 }
 
 struct Sample<'a> {
-    world: &'a World,
+    testbed: &'a Testbed,
     client: Client,
 }
 
 impl Sample<'_> {
     fn configure(&self) -> Result<(), Error> {
         let step = "configuration";
-        let resources = self.world.resources();
+        let resources = self.testbed.resources();
         let start = Instant::now();
         let mut revision = 0;
         for (kind, name, spec) in &resources {
@@ -65,7 +65,7 @@
     fn complete(&self) -> Result<(), Error> {
         let step = "completion";
         let start = Instant::now();
-        let text = self.ask(step, self.world.routers[1].callers(), "Which shade?")?;
+        let text = self.ask(step, self.testbed.routers[1].callers(), "Which shade?")?;
         println!(
             "{step}: {TOKENS} tokens over 3 stages in {} ms: {text}",
             start.elapsed().as_millis()
@@ -77,13 +77,13 @@
         let step = "posting";
         let body = "carton 17 to counter 4";
         let mut statuses = Vec::new();
-        for router in &self.world.routers[..2] {
+        for router in &self.testbed.routers[..2] {
             let headers = [("idempotency-key", "carton-17")];
             let path = "/services/operations/orders";
             let answer = self.call(step, router.callers(), Method::POST, path, &headers, body)?;
             statuses.push(answer.status.as_u16());
         }
-        let runs = self.world.service.runs().get(body).copied().unwrap_or(0);
+        let runs = self.testbed.service.runs().get(body).copied().unwrap_or(0);
         ensure(step, runs == 1, || format!("it ran {runs} times, answers {statuses:?}"))?;
         println!("{step}: sent twice with one key to two routers, answers {statuses:?}, ran once");
         Ok(())
@@ -98,10 +98,10 @@
         Ok(())
     }
 
-    /// Breaks the world while requests run; each must be whole and right.
+    /// Breaks the testbed while requests run; each must be whole and right.
     fn survive(&self, fault: Fault) -> Result<(), Error> {
         let step = "fault";
-        let routers = &self.world.routers;
+        let routers = &self.testbed.routers;
         let slowest = thread::scope(|scope| {
             let callers: Vec<_> = (0..CALLERS)
                 .map(|caller| {
@@ -110,7 +110,7 @@
                 })
                 .collect();
             thread::sleep(Duration::from_millis(100));
-            fault.set(self.world);
+            fault.set(self.testbed);
             let results: Vec<_> =
                 callers.into_iter().map(|c| c.join().expect("callers do not panic")).collect();
             results
@@ -119,7 +119,7 @@
         })?;
         let refused =
             if fault == Fault::StopTable { Some(self.refused_posting(step)?) } else { None };
-        Fault::clear(self.world);
+        Fault::clear(self.testbed);
         println!(
             "{step}: {fault} while {} requests ran: all whole and right, the slowest in {} ms",
             CALLERS * REQUESTS,
@@ -148,7 +148,7 @@
 
     fn refused_posting(&self, step: &'static str) -> Result<String, Error> {
         let headers = [("idempotency-key", "carton-18")];
-        let (to, path) = (self.world.routers[0].callers(), "/services/operations/orders");
+        let (to, path) = (self.testbed.routers[0].callers(), "/services/operations/orders");
         let answer = self.call(step, to, Method::POST, path, &headers, "carton 18")?;
         let problem = parse(&answer);
         let effect = problem["effect"].as_str() == Some("not-run");
@@ -178,7 +178,7 @@
         spec: &Value,
     ) -> Result<u64, Error> {
         let path = format!("/api/v1/{kind}/{name}");
-        let to = self.world.routers[0].operators();
+        let to = self.testbed.routers[0].operators();
         let answer = self.operate(step, to, Method::PUT, &path, &spec.to_string())?;
         answer["revision"].as_u64().ok_or_else(|| Error::Sample {
             step,
@@ -194,10 +194,10 @@
             let count = |of: &str| -> u64 {
                 domains.into_iter().flatten().filter_map(|(_, d)| d[of].as_u64()).sum()
             };
-            count("installed") == self.world.routers.len() as u64
+            count("installed") == self.testbed.routers.len() as u64
         };
         loop {
-            let to = self.world.routers[0].operators();
+            let to = self.testbed.routers[0].operators();
             let answer = self.operate(step, to, Method::GET, &path, "")?;
             if everywhere(&answer) {
                 return Ok(start.elapsed());
--- a/mimosastandin/src/lib.rs
+++ b/mimosastandin/src/lib.rs
@@ -8,4 +8,4 @@
 pub mod oracle;
 pub mod platform;
 pub mod service;
-pub mod world;
+pub mod testbed;
--- a/mimosastandin/src/world.rs
+++ b/mimosastandin/src/testbed.rs
@@ -20,7 +20,7 @@
 /// Loopback with any free port.
 pub const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Name of the model that the world serves.
+/// Name of the model that the testbed serves.
 pub const MODEL: &str = "advisor";
 
 /// Its number of layers.
@@ -35,11 +35,11 @@
 /// Time for one call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Key that authenticates the routers of a world to one another.
+/// Key that authenticates the routers of a testbed to one another.
 const PEER_KEY: [u8; settings::KEY_BYTES] = [7; settings::KEY_BYTES];
 
 quick_error! {
-    /// Why a world did not start.
+    /// Why a testbed did not start.
     #[derive(Debug)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
@@ -66,7 +66,7 @@
     }
 }
 
-/// One engine of a world.
+/// One engine of a testbed.
 pub struct Placed {
     /// Its name as an endpoint.
     pub name: String,
@@ -79,7 +79,7 @@
 }
 
 /// Everything that runs.
-pub struct World {
+pub struct Testbed {
     /// The platform.
     pub platform: platform::Instance,
     /// The engines: two domains, two kinds of accelerator, three stages.
@@ -90,8 +90,8 @@
     pub routers: Vec<Running>,
 }
 
-impl World {
-    /// Starts a world on loopback.
+impl Testbed {
+    /// Starts a testbed on loopback.
     pub fn start(log: &Logger) -> Result<Self, Error> {
         let platform = platform::Instance::start(ANY, platform::Rates::default())?;
         let service = service::Instance::start(ANY)?;
@@ -113,7 +113,7 @@
         Ok(Self { platform, engines, service, routers })
     }
 
-    /// The resources that make the world serve, in the order in which they
+    /// The resources that make the testbed serve, in the order in which they
     /// are applied: kind, name, specification.
     pub fn resources(&self) -> Vec<(&'static str, String, Value)> {
         let digest = |token: &str| hex::encode(Sha256::digest(token));
@@ -159,7 +159,7 @@
     }
 }
 
-/// The settings of router `index` of a world.
+/// The settings of router `index` of a testbed.
 fn router(
     index: usize,
     peers: &[SocketAddr],
