--- a/mimosabench/src/clients.rs
+++ b/mimosabench/src/clients.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use mimosashift::http::client::{Call, Client, Settings};
 use mimosashift::http::{Handler, Request, Responder, Server};
-use mimosastandin::testbed::{ANY, free_address};
+use mimosastandin::testbed::{LOOPBACK, free_address};
 use ureq::http::{Method, StatusCode};
 
 /// Bytes of each body, there and back: the activations of one token.
@@ -54,7 +54,7 @@
 
 /// Compares the clients and prints a table.
 pub fn run() -> std::io::Result<()> {
-    let server = Server::start("echo", ANY, Default::default(), std::sync::Arc::new(Echo))?;
+    let server = Server::start("echo", LOOPBACK, Default::default(), std::sync::Arc::new(Echo))?;
     let address = server.address();
     let kept = Client::new(Settings::default());
     println!("client                 threads  calls/s  p50 us  p95 us  p99 us  failed");
--- a/mimosabench/src/slopes/caller.rs
+++ b/mimosabench/src/slopes/caller.rs
@@ -12,7 +12,7 @@
 use mimosashift::{http, settings};
 use mimosastandin::engine;
 use mimosastandin::platform::Instance;
-use mimosastandin::testbed::ANY;
+use mimosastandin::testbed::LOOPBACK;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 use slog::{Discard, Logger, o};
@@ -113,7 +113,7 @@
         let checked =
             serde_json::from_value(spec.clone()).map_err(|error| Error::Call(error.to_string()))?;
         let models = HashMap::from([(fleet::name("model"), fleet::LAYERS)]);
-        let instance = engine::Instance::start(ANY, checked, models)?;
+        let instance = engine::Instance::start(LOOPBACK, checked, models)?;
         let endpoint =
             json!({"address": instance.address(), "domain": "domain-0", "role": {"engine": spec}});
         self.apply("endpoint", &format!("engine-{stage}"), &endpoint)?;
@@ -232,13 +232,13 @@
             region: fleet::name("region-0"),
             drain: Duration::from_secs(1),
         },
-        callers: ANY,
+        callers: LOOPBACK,
         limits: http::Settings::default(),
         queue_bytes: 8 << 20,
-        operators: ANY,
+        operators: LOOPBACK,
         bootstrap_digest: Some(settings::Digest(Sha256::digest(OPERATOR).into())),
         peer: settings::Peer {
-            address: ANY,
+            address: LOOPBACK,
             peers: Vec::new(),
             keys: Vec::new(),
             cross_domain_latency: Duration::ZERO,
--- a/mimosabench/src/slopes/config.rs
+++ b/mimosabench/src/slopes/config.rs
@@ -18,7 +18,7 @@
 use mimosashift::wire::message::Bundle;
 use mimosashift::wire::{Frame, Key, MAX_STREAM_BYTES, Message, Ring};
 use mimosastandin::platform::{Instance, Rates};
-use mimosastandin::testbed::ANY;
+use mimosastandin::testbed::LOOPBACK;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -132,7 +132,7 @@
 
 /// A table that refuses nothing for its rate.
 pub(super) fn unlimited_table() -> io::Result<Instance> {
-    Instance::start(ANY, Rates { writes_per_second: 1e12, reads_per_second: 1e12 })
+    Instance::start(LOOPBACK, Rates { writes_per_second: 1e12, reads_per_second: 1e12 })
 }
 
 /// Bytes of a frame that carries records to a peer.
--- a/mimosastandin/src/testbed.rs
+++ b/mimosastandin/src/testbed.rs
@@ -18,7 +18,7 @@
 use crate::{engine, platform, service};
 
 /// Loopback with any free port.
-pub const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+pub const LOOPBACK: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Name of the model that the testbed serves.
 pub const MODEL: &str = "advisor";
@@ -93,8 +93,8 @@
 impl Testbed {
     /// Starts a testbed on loopback.
     pub fn start(log: &Logger) -> Result<Self, Error> {
-        let platform = platform::Instance::start(ANY, platform::Rates::default())?;
-        let service = service::Instance::start(ANY)?;
+        let platform = platform::Instance::start(LOOPBACK, platform::Rates::default())?;
+        let service = service::Instance::start(LOOPBACK)?;
         let mut engines = Vec::new();
         for domain in ["almaty-a", "almaty-b"] {
             for (stage, layers) in [[0, 8], [8, 16], [16, 24]].into_iter().enumerate() {
@@ -152,7 +152,7 @@
 /// Another program may take it before it is used; the next try finds another.
 pub fn free_address() -> io::Result<SocketAddr> {
     loop {
-        let address = TcpListener::bind(ANY)?.local_addr()?;
+        let address = TcpListener::bind(LOOPBACK)?.local_addr()?;
         if UdpSocket::bind(address).is_ok() {
             return Ok(address);
         }
@@ -175,10 +175,10 @@
             region: Name::try_from("almaty")?,
             drain: Duration::from_secs(10),
         },
-        callers: ANY,
+        callers: LOOPBACK,
         limits: http::Settings::default(),
         queue_bytes: 8 << 20,
-        operators: ANY,
+        operators: LOOPBACK,
         bootstrap_digest: Some(settings::Digest(Sha256::digest(OPERATOR_TOKEN).into())),
         peer: settings::Peer {
             address: peers[index],
@@ -204,7 +204,7 @@
     });
     let checked: Engine = serde_json::from_value(engine.clone())?;
     let models = HashMap::from([(Name::try_from(MODEL)?, LAYERS)]);
-    let instance = engine::Instance::start(ANY, checked, models)?;
+    let instance = engine::Instance::start(LOOPBACK, checked, models)?;
     let spec = json!({"address": instance.address(), "domain": domain, "role": {"engine": engine}});
     let name = format!("{domain}-stage-{stage}-{kind}");
     Ok(Placed { name, domain, spec, instance })
