--- a/mimosabench/src/load.rs
+++ b/mimosabench/src/load.rs
@@ -25,7 +25,7 @@
 
 /// What is sent, and where to.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct LoadConfig {
     /// Callers' addresses of the routers; those that are ready share the load.
     pub targets: Vec<SocketAddr>,
     /// Bearer token of the calling team.
@@ -38,14 +38,14 @@
     /// latency counts.
     pub connections: usize,
     /// What each request asks for.
-    pub work: Work,
+    pub workload: Workload,
     /// Seed of prompts and arrival times.
     pub seed: u64,
 }
 
 /// What a request asks for.
 #[derive(Clone, Debug)]
-pub enum Work {
+pub enum Workload {
     /// A streamed completion, checked token by token.
     Completion {
         /// Model as callers name it.
@@ -82,20 +82,20 @@
 }
 
 /// Sends the planned load and reports on every request.
-pub fn run(plan: &Plan) -> Report {
-    let balancer = Arc::new(Balancer::new(plan.targets.clone()));
-    let (sender, receiver) = bounded(plan.connections * 64);
+pub fn run(config: &LoadConfig) -> Report {
+    let balancer = Arc::new(Balancer::new(config.targets.clone()));
+    let (sender, receiver) = bounded(config.connections * 64);
     let report = Arc::new(Mutex::new(Report::default()));
-    let stop = Instant::now() + plan.duration;
+    let stop = Instant::now() + config.duration;
     thread::scope(|scope| {
         scope.spawn(|| balancer.watch(stop));
-        for _ in 0..plan.connections {
+        for _ in 0..config.connections {
             let (receiver, report) = (receiver.clone(), Arc::clone(&report));
             let balancer = &balancer;
-            scope.spawn(move || work(plan, balancer, &receiver, &report));
+            scope.spawn(move || work(config, balancer, &receiver, &report));
         }
         drop(receiver);
-        let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
         let mut at = Instant::now();
         let mut number = 0;
         while at < stop {
@@ -104,17 +104,17 @@
                 break;
             }
             number += 1;
-            let gap = -(1.0 - rng.random::<f64>()).ln() / plan.rate;
+            let gap = -(1.0 - rng.random::<f64>()).ln() / config.rate;
             at += Duration::from_secs_f64(gap);
         }
         drop(sender);
     });
     let mut report = std::mem::take(&mut *report.lock().expect("no worker panics"));
-    report.seconds = plan.duration.as_secs_f64();
+    report.seconds = config.duration.as_secs_f64();
     report
 }
 
-fn work(plan: &Plan, balancer: &Balancer, due: &Receiver<Due>, report: &Mutex<Report>) {
+fn work(config: &LoadConfig, balancer: &Balancer, due: &Receiver<Due>, report: &Mutex<Report>) {
     let agent = Agent::config_builder()
         .http_status_as_error(false)
         .proxy(None)
@@ -123,32 +123,33 @@
         .build()
         .new_agent();
     for due in due {
-        let outcome = match &plan.work {
-            Work::Completion { .. } => complete(plan, balancer, &agent, &due, report),
-            Work::Posting { .. } => post(plan, balancer, &agent, &due),
+        let outcome = match &config.workload {
+            Workload::Completion { .. } => complete(config, balancer, &agent, &due, report),
+            Workload::Posting { .. } => post(config, balancer, &agent, &due),
         };
         report.lock().expect("no worker panics").count(outcome, due.at.elapsed());
     }
 }
 
 fn complete(
-    plan: &Plan,
+    config: &LoadConfig,
     balancer: &Balancer,
     agent: &Agent,
     due: &Due,
     report: &Mutex<Report>,
 ) -> Outcome {
-    let Work::Completion { model, layers, version, prompt_tokens, tokens } = &plan.work else {
+    let Workload::Completion { model, layers, version, prompt_tokens, tokens } = &config.workload
+    else {
         return Outcome::Lost;
     };
-    let prompt = prompt(plan.seed, due.number, *prompt_tokens);
+    let prompt = prompt(config.seed, due.number, *prompt_tokens);
     let body = serde_json::json!({
         "model": model, "prompt": prompt, "max_tokens": tokens, "stream": true,
     });
     let url = format!("http://{}/v1/completions", balancer.pick());
     let sent = agent
         .post(url)
-        .header("authorization", format!("Bearer {}", plan.token))
+        .header("authorization", format!("Bearer {}", config.token))
         .send(body.to_string());
     let response = match sent {
         Ok(response) => response,
@@ -183,13 +184,13 @@
     Outcome::CutShort
 }
 
-fn post(plan: &Plan, balancer: &Balancer, agent: &Agent, due: &Due) -> Outcome {
-    let Work::Posting { service, label } = &plan.work else { return Outcome::Lost };
+fn post(config: &LoadConfig, balancer: &Balancer, agent: &Agent, due: &Due) -> Outcome {
+    let Workload::Posting { service, label } = &config.workload else { return Outcome::Lost };
     let body = format!("{label}-{}", due.number);
     let url = format!("http://{}/services/{service}/postings", balancer.pick());
     let sent = agent
         .post(url)
-        .header("authorization", format!("Bearer {}", plan.token))
+        .header("authorization", format!("Bearer {}", config.token))
         .header("idempotency-key", &body)
         .send(body.clone());
     match sent {
--- a/mimosabench/src/main.rs
+++ b/mimosabench/src/main.rs
@@ -5,7 +5,7 @@
 
 use mimosabench::added;
 use mimosabench::clients;
-use mimosabench::load::{self, Plan, Work};
+use mimosabench::load::{self, LoadConfig, Workload};
 use mimosabench::policy::{self, measure};
 use mimosabench::report::{Outcome, Report};
 use mimosabench::slopes;
@@ -109,11 +109,11 @@
 
 fn run_load(flags: &flags::Load) -> ExitCode {
     let seed = flags.seed.unwrap_or(1);
-    let work = match &flags.service {
+    let workload = match &flags.service {
         Some(service) => {
-            Work::Posting { service: service.clone(), label: format!("posting-{seed}") }
+            Workload::Posting { service: service.clone(), label: format!("posting-{seed}") }
         }
-        None => Work::Completion {
+        None => Workload::Completion {
             model: flags.model.clone().unwrap_or_else(|| "advisor".to_owned()),
             layers: flags.layers.unwrap_or(24),
             version: 1,
@@ -125,13 +125,13 @@
         eprintln!("mimosabench: load needs at least one --target");
         return ExitCode::from(2);
     }
-    let report = load::run(&Plan {
+    let report = load::run(&LoadConfig {
         targets: flags.target.clone(),
         token: flags.token.clone(),
         rate: flags.rate.unwrap_or(50.0),
         duration: Duration::from_secs_f64(flags.seconds.unwrap_or(10.0)),
         connections: flags.connections.unwrap_or(128),
-        work,
+        workload,
         seed,
     });
     print_report(&report, flags.json);
--- a/mimosashiftd/tests/failover.rs
+++ b/mimosashiftd/tests/failover.rs
@@ -9,7 +9,7 @@
 
 use common::Cluster;
 use hyper::Method;
-use mimosabench::load::{self, Plan, Work};
+use mimosabench::load::{self, LoadConfig, Workload};
 use mimosabench::report::{Outcome, Report};
 use mimosashift::resource::{Engine, Name};
 use mimosastandin::engine;
@@ -58,13 +58,13 @@
 
 /// Sends load to every router while `disturb` runs.
 fn run(cluster: &Cluster, disturb: impl FnOnce()) -> Report {
-    let plan = Plan {
+    let plan = LoadConfig {
         targets: cluster.routers.iter().map(common::Router::callers).collect(),
         token: common::CALLER.to_owned(),
         rate: RATE,
         duration: DURATION,
         connections: 64,
-        work: Work::Completion {
+        workload: Workload::Completion {
             model: "advisor".to_owned(),
             layers: LAYERS,
             version: 1,
