--- a/mimosabench/src/load.rs
+++ b/mimosabench/src/load.rs
@@ -127,7 +127,7 @@
             Workload::Completion { .. } => complete(config, balancer, &agent, &due, report),
             Workload::Posting { .. } => post(config, balancer, &agent, &due),
         };
-        report.lock().expect("no worker panics").count(outcome, due.at.elapsed());
+        report.lock().expect("no worker panics").record(outcome, due.at.elapsed());
     }
 }
 
@@ -167,7 +167,7 @@
         let Some(data) = line.strip_prefix("data: ") else { continue };
         if data == "[DONE]" {
             let expected: String = expected.into_iter().map(decode_token).collect();
-            report.lock().expect("no worker panics").tokens(&gaps);
+            report.lock().expect("no worker panics").record_token_gaps(&gaps);
             return if text == expected { Outcome::Whole } else { Outcome::Wrong };
         }
         let event: Value = serde_json::from_str(data).unwrap_or_default();
--- a/mimosabench/src/main.rs
+++ b/mimosabench/src/main.rs
@@ -135,7 +135,7 @@
         seed,
     });
     print_report(&report, flags.json);
-    if report.of(Outcome::Wrong) == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if report.count(Outcome::Wrong) == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn print_report(report: &Report, json: bool) {
--- a/mimosabench/src/report.rs
+++ b/mimosabench/src/report.rs
@@ -39,23 +39,23 @@
 
 impl Report {
     /// Notes one request and the time since it was due.
-    pub fn count(&mut self, outcome: Outcome, latency: Duration) {
+    pub fn record(&mut self, outcome: Outcome, latency: Duration) {
         self.counts[outcome as usize] += 1;
         if outcome == Outcome::Whole {
-            record(&mut self.latency, latency);
+            record_micros(&mut self.latency, latency);
         }
     }
 
     /// Notes the times of one answer's tokens: the first since it was due,
     /// each other since the one before.
-    pub fn tokens(&mut self, gaps: &[Duration]) {
+    pub fn record_token_gaps(&mut self, gaps: &[Duration]) {
         let Some((first, rest)) = gaps.split_first() else { return };
-        record(&mut self.first, *first);
-        rest.iter().for_each(|gap| record(&mut self.between, *gap));
+        record_micros(&mut self.first, *first);
+        rest.iter().for_each(|gap| record_micros(&mut self.between, *gap));
     }
 
     /// How many requests ended so.
-    pub const fn of(&self, outcome: Outcome) -> u64 {
+    pub const fn count(&self, outcome: Outcome) -> u64 {
         self.counts[outcome as usize]
     }
 
@@ -69,13 +69,13 @@
         json!({
             "seconds": self.seconds,
             "sent": self.sent(),
-            "whole": self.of(Outcome::Whole),
-            "wrong": self.of(Outcome::Wrong),
-            "cut_short": self.of(Outcome::CutShort),
-            "not_run": self.of(Outcome::NotRun),
-            "unknown": self.of(Outcome::Unknown),
-            "failed": self.of(Outcome::Failed),
-            "lost": self.of(Outcome::Lost),
+            "whole": self.count(Outcome::Whole),
+            "wrong": self.count(Outcome::Wrong),
+            "cut_short": self.count(Outcome::CutShort),
+            "not_run": self.count(Outcome::NotRun),
+            "unknown": self.count(Outcome::Unknown),
+            "failed": self.count(Outcome::Failed),
+            "lost": self.count(Outcome::Lost),
             "latency_ms": quantiles(&self.latency),
             "first_token_ms": quantiles(&self.first),
             "between_tokens_ms": quantiles(&self.between),
@@ -103,7 +103,7 @@
     }
 }
 
-fn record(histogram: &mut Histogram<u64>, time: Duration) {
+fn record_micros(histogram: &mut Histogram<u64>, time: Duration) {
     histogram.saturating_record(u64::try_from(time.as_micros()).unwrap_or(MAX_MICROS));
 }
 
--- a/mimosashiftd/tests/failover.rs
+++ b/mimosashiftd/tests/failover.rs
@@ -91,7 +91,7 @@
     let _engines = engines(&cluster);
     let report = run(&cluster, || cluster.routers[0].signal("TERM"));
     show("drained", &report);
-    assert_eq!(report.of(Outcome::Whole), report.sent());
+    assert_eq!(report.count(Outcome::Whole), report.sent());
     assert!(report.sent() > 0);
     assert_eq!(cluster.routers[0].exit_code(), Some(0));
 }
@@ -102,9 +102,9 @@
     let _engines = engines(&cluster);
     let report = run(&cluster, || cluster.routers[0].signal("KILL"));
     show("killed", &report);
-    assert_eq!(report.of(Outcome::Wrong), 0);
+    assert_eq!(report.count(Outcome::Wrong), 0);
     // What the router held is cut short visibly or has no answer at all.
-    let broken = report.of(Outcome::CutShort) + report.of(Outcome::Lost);
-    assert_eq!(report.of(Outcome::Whole) + broken, report.sent());
-    assert!(report.of(Outcome::Whole) > report.sent() / 2);
+    let broken = report.count(Outcome::CutShort) + report.count(Outcome::Lost);
+    assert_eq!(report.count(Outcome::Whole) + broken, report.sent());
+    assert!(report.count(Outcome::Whole) > report.sent() / 2);
 }
