--- a/mimosabench/src/added.rs
+++ b/mimosabench/src/added_latency.rs
@@ -1,7 +1,8 @@
-//! Time that a router adds to tokens, over real sockets.
+//! Token latency that a router adds, measured over real sockets.
 //!
-//! The same requests run through a router and, without one, by a bare loop
-//! over the same engines, in turn, so that both run under the same conditions.
+//! Each request is sent twice: directly to the engines by a plain loop, and
+//! through a router to the same engines. The two alternate so that they run
+//! under the same conditions.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -17,18 +18,19 @@
 use quick_error::quick_error;
 use slog::{Discard, Logger, o};
 
-/// Tokens of each prompt and answer.
+/// Number of tokens of each prompt and each response.
 const PROMPT_TOKENS: usize = 64;
 const TOKENS: u32 = 64;
 
-/// Longest time that is told apart, in microseconds.
-const MAX_MICROS: u64 = 10_000_000;
+/// Upper bound of the latency histograms, in microseconds; higher values are
+/// clamped to it.
+const MAX_LATENCY_MICROS: u64 = 10_000_000;
 
-/// Time for one step.
+/// Timeout of one step.
 const STEP_TIMEOUT: Duration = Duration::from_secs(5);
 
 quick_error! {
-    /// Why the measure failed.
+    /// Why the measurement failed.
     #[derive(Debug)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
@@ -41,7 +43,7 @@
         Apply(reason: String) {
             display("a resource was not accepted: {}", reason)
         }
-        /// A step without a router failed.
+        /// A step sent directly to an engine failed.
         Step(failure: Failure) {
             from()
             display("a step failed: {}", failure)
@@ -53,61 +55,64 @@
     }
 }
 
-/// First-token and inter-token times of one way.
-struct Times {
-    first: Histogram<u64>,
-    between: Histogram<u64>,
+/// First-token and inter-token latencies, direct or through the router.
+struct TokenLatencies {
+    first_token: Histogram<u64>,
+    inter_token: Histogram<u64>,
 }
 
-/// Runs `requests` requests each way and prints the times.
+/// Sends `requests` requests directly and through a router, and prints the
+/// latencies.
 pub fn run(requests: u32) -> Result<(), Error> {
     let testbed = Testbed::start(&Logger::root(Discard, o!()))?;
-    apply(&testbed)?;
-    let engines = direct_chain(&testbed);
+    apply_resources(&testbed)?;
+    let engines = direct_engines(&testbed);
     let adapter = Adapter::new(Arc::new(Client::new(Default::default())));
-    let (mut direct, mut routed) = (Times::new(), Times::new());
+    let (mut direct, mut routed) = (TokenLatencies::new(), TokenLatencies::new());
     let router = testbed.routers[0].callers();
     for request in 0..requests {
         let prompt = prompt(request);
         run_direct(&adapter, &engines, &prompt, u128::from(request), &mut direct)?;
-        run_routed(router, &prompt, &mut routed)?;
+        run_through_router(router, &prompt, &mut routed)?;
     }
-    println!("way      first p50  p95  between p50  p95  (ms)");
-    print("direct", &direct);
-    print("router", &routed);
-    let added = |of: fn(&Times) -> &Histogram<u64>| {
-        (of(&routed).value_at_quantile(0.95) as f64 - of(&direct).value_at_quantile(0.95) as f64)
+    println!("path     first p50  p95  between p50  p95  (ms)");
+    print_row("direct", &direct);
+    print_row("router", &routed);
+    let added = |histogram: fn(&TokenLatencies) -> &Histogram<u64>| {
+        (histogram(&routed).value_at_quantile(0.95) as f64
+            - histogram(&direct).value_at_quantile(0.95) as f64)
             / 1_000.0
     };
     println!(
         "added at p95: first {:.3} ms, between {:.3} ms",
-        added(|t| &t.first),
-        added(|t| &t.between)
+        added(|t| &t.first_token),
+        added(|t| &t.inter_token)
     );
     Ok(())
 }
 
-fn apply(testbed: &Testbed) -> Result<(), Error> {
+fn apply_resources(testbed: &Testbed) -> Result<(), Error> {
     for (kind, name, spec) in testbed.resources() {
-        // Only fast engines of the first domain, so that both ways run alike.
+        // Only the fast engines of the first failure domain, so that the
+        // router uses the same engines as the direct requests.
         if kind == "endpoint" && !(name.starts_with("almaty-a") && name.ends_with("large")) {
             continue;
         }
         let url = format!("http://{}/api/v1/{kind}/{name}", testbed.routers[0].operators());
         let bearer = format!("Bearer {}", mimosastandin::testbed::OPERATOR_TOKEN);
-        let sent = ureq::put(url).header("authorization", bearer).send(spec.to_string());
-        sent.map_err(|error| Error::Apply(format!("{kind} {name}: {error}")))?;
+        let result = ureq::put(url).header("authorization", bearer).send(spec.to_string());
+        result.map_err(|error| Error::Apply(format!("{kind} {name}: {error}")))?;
     }
     Ok(())
 }
 
-/// The engines that the router uses too, with their layers.
-fn direct_chain(testbed: &Testbed) -> Vec<(SocketAddr, Layers)> {
+/// The engines that the router uses, in pipeline order and with their layers.
+fn direct_engines(testbed: &Testbed) -> Vec<(SocketAddr, Layers)> {
     let fast =
-        testbed.engines.iter().filter(|p| p.domain == "almaty-a" && p.name.ends_with("large"));
+        testbed.engines.iter().filter(|e| e.domain == "almaty-a" && e.name.ends_with("large"));
     let starts = [0, 8, 16];
     let layers = |start| Layers::try_from((start, start + 8)).expect("8 layers are a range");
-    fast.zip(starts).map(|(placed, start)| (placed.instance.address(), layers(start))).collect()
+    fast.zip(starts).map(|(engine, start)| (engine.instance.address(), layers(start))).collect()
 }
 
 fn run_direct(
@@ -115,13 +120,13 @@
     engines: &[(SocketAddr, Layers)],
     prompt: &[u32],
     request: u128,
-    times: &mut Times,
+    latencies: &mut TokenLatencies,
 ) -> Result<(), Error> {
     let request = RequestId(request);
     let pipeline = Name::try_from(MODEL).expect("the model's name is valid");
     let mut input = prompt.to_vec();
     let mut position = 0;
-    let mut last = Instant::now();
+    let mut last_token_at = Instant::now();
     for token in 0..TOKENS {
         let count = input.len() as u32;
         let mut body = Input::Tokens(std::mem::take(&mut input));
@@ -139,8 +144,8 @@
             }
         }
         position += count;
-        times.record(token as usize, last.elapsed());
-        last = Instant::now();
+        latencies.record(token as usize, last_token_at.elapsed());
+        last_token_at = Instant::now();
     }
     for &(address, _) in engines {
         adapter.cancel(address, request, 1);
@@ -148,12 +153,16 @@
     Ok(())
 }
 
-fn run_routed(router: SocketAddr, prompt: &[u32], times: &mut Times) -> Result<(), Error> {
+fn run_through_router(
+    router: SocketAddr,
+    prompt: &[u32],
+    latencies: &mut TokenLatencies,
+) -> Result<(), Error> {
     let failed = |error: &dyn std::fmt::Display| Error::Request(error.to_string());
     let body = serde_json::json!({
         "model": MODEL, "prompt": prompt, "max_tokens": TOKENS, "stream": true,
     });
-    let mut last = Instant::now();
+    let mut last_token_at = Instant::now();
     let response = ureq::post(format!("http://{router}/v1/completions"))
         .header("authorization", format!("Bearer {CALLER_TOKEN}"))
         .send(body.to_string())
@@ -161,15 +170,20 @@
     let mut token = 0;
     for line in BufReader::new(response.into_body().into_reader()).lines() {
         let line = line.map_err(|error| failed(&error))?;
-        // The last events carry a reason or the end, but no token.
+        // The last events carry the finish reason or end the stream and hold
+        // no token.
         if !line.starts_with("data: {") || !line.contains("\"finish_reason\":null") {
             continue;
         }
-        times.record(token, last.elapsed());
-        last = Instant::now();
+        latencies.record(token, last_token_at.elapsed());
+        last_token_at = Instant::now();
         token += 1;
     }
-    if token == TOKENS as usize { Ok(()) } else { Err(failed(&format!("{token} tokens came"))) }
+    if token == TOKENS as usize {
+        Ok(())
+    } else {
+        Err(failed(&format!("received {token} of {TOKENS} tokens")))
+    }
 }
 
 fn prompt(request: u32) -> Vec<u32> {
@@ -177,29 +191,30 @@
     text.bytes().take(PROMPT_TOKENS).map(u32::from).collect()
 }
 
-fn print(way: &str, times: &Times) {
-    let at = |histogram: &Histogram<u64>, q| histogram.value_at_quantile(q) as f64 / 1_000.0;
+fn print_row(path: &str, latencies: &TokenLatencies) {
+    let millis_at = |histogram: &Histogram<u64>, q| histogram.value_at_quantile(q) as f64 / 1_000.0;
     println!(
-        "{way:8} {:9.3} {:6.3} {:9.3} {:6.3}",
-        at(&times.first, 0.5),
-        at(&times.first, 0.95),
-        at(&times.between, 0.5),
-        at(&times.between, 0.95)
+        "{path:8} {:9.3} {:6.3} {:9.3} {:6.3}",
+        millis_at(&latencies.first_token, 0.5),
+        millis_at(&latencies.first_token, 0.95),
+        millis_at(&latencies.inter_token, 0.5),
+        millis_at(&latencies.inter_token, 0.95)
     );
 }
 
-impl Times {
+impl TokenLatencies {
     fn new() -> Self {
-        let histogram = || Histogram::new_with_max(MAX_MICROS, 3).expect("the bounds are valid");
-        Self { first: histogram(), between: histogram() }
+        let histogram =
+            || Histogram::new_with_max(MAX_LATENCY_MICROS, 3).expect("the bounds are valid");
+        Self { first_token: histogram(), inter_token: histogram() }
     }
 
-    fn record(&mut self, token: usize, time: Duration) {
-        let micros = time.as_micros() as u64;
+    fn record(&mut self, token: usize, latency: Duration) {
+        let micros = latency.as_micros() as u64;
         if token == 0 {
-            self.first.saturating_record(micros);
+            self.first_token.saturating_record(micros);
         } else {
-            self.between.saturating_record(micros);
+            self.inter_token.saturating_record(micros);
         }
     }
 }
--- a/mimosabench/src/clients.rs
+++ b/mimosabench/src/clients.rs
@@ -1,4 +1,4 @@
-//! HTTP clients and servers compared over loopback.
+//! Comparison of HTTP clients and servers over loopback.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -11,21 +11,22 @@
 use mimosastandin::testbed::{LOOPBACK, free_address};
 use ureq::http::{Method, StatusCode};
 
-/// Bytes of each body, there and back: the activations of one token.
+/// Size of each request and response body: the activations of one token.
 const BODY_BYTES: usize = 8_192;
 
-/// Calls of each thread.
-const CALLS: usize = 2_000;
+/// Calls made by each thread.
+const CALLS_PER_THREAD: usize = 2_000;
 
-/// Events of a stream, and the time between two.
+/// Number of events of a stream, and the time between two events.
 const EVENTS: usize = 20;
 const EVENT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest latency that is told apart, in microseconds.
-const MAX_MICROS: u64 = 10_000_000;
+/// Upper bound of the latency histograms, in microseconds; higher values are
+/// clamped to it.
+const MAX_LATENCY_MICROS: u64 = 10_000_000;
 
-/// What one client took.
-struct Line {
+/// Latencies and failures of one client at one number of threads.
+struct Measurement {
     name: &'static str,
     threads: usize,
     seconds: f64,
@@ -33,7 +34,7 @@
     latency: Histogram<u64>,
 }
 
-/// Answers every call with the body that it got, and streams events.
+/// Streams events in response to a GET, and echoes the body of other requests.
 struct Echo;
 
 impl Handler for Echo {
@@ -52,44 +53,44 @@
     }
 }
 
-/// Compares the clients and prints a table.
+/// Compares the clients and servers, and prints a table of each.
 pub fn run() -> std::io::Result<()> {
     let server = Server::start("echo", LOOPBACK, Default::default(), std::sync::Arc::new(Echo))?;
     let address = server.address();
-    let kept = Client::new(Settings::default());
+    let client = Client::new(Settings::default());
     println!("client                 threads  calls/s  p50 us  p95 us  p99 us  failed");
     for threads in [1, 8, 32] {
-        print(&measure("kept connections", threads, || call_kept(&kept, address, false)));
-        print(&measure("fresh connections", threads, || call_kept(&kept, address, true)));
-        print(&measure("oxhttp", threads, || call_oxhttp(address)));
+        print_row(&measure("pooled connections", threads, || call_client(&client, address, false)));
+        print_row(&measure("fresh connections", threads, || call_client(&client, address, true)));
+        print_row(&measure("oxhttp", threads, || call_oxhttp(address)));
     }
     println!("\nserver                 first event ms  last event ms");
     print_stream("hyper", address)?;
-    let oxhttp = free_address()?;
-    let _listening = oxhttp_server(oxhttp)?;
-    print_stream("oxhttp", oxhttp)
+    let oxhttp_address = free_address()?;
+    let _oxhttp_server = start_oxhttp_server(oxhttp_address)?;
+    print_stream("oxhttp", oxhttp_address)
 }
 
-fn measure(name: &'static str, threads: usize, call: impl Fn() -> bool + Sync) -> Line {
+fn measure(name: &'static str, threads: usize, call: impl Fn() -> bool + Sync) -> Measurement {
     let start = Instant::now();
     let results: Vec<(Histogram<u64>, usize)> = thread::scope(|scope| {
-        let workers: Vec<_> = (0..threads).map(|_| scope.spawn(|| work(&call))).collect();
+        let workers: Vec<_> = (0..threads).map(|_| scope.spawn(|| run_calls(&call))).collect();
         workers.into_iter().map(|w| w.join().expect("workers do not panic")).collect()
     });
     let seconds = start.elapsed().as_secs_f64();
     let mut latency = histogram();
     let mut failed = 0;
-    for (part, part_failed) in results {
-        latency.add(part).expect("both histograms have the same bounds");
-        failed += part_failed;
+    for (thread_latency, thread_failed) in results {
+        latency.add(thread_latency).expect("both histograms have the same bounds");
+        failed += thread_failed;
     }
-    Line { name, threads, seconds, failed, latency }
+    Measurement { name, threads, seconds, failed, latency }
 }
 
-fn work(call: &impl Fn() -> bool) -> (Histogram<u64>, usize) {
+fn run_calls(call: &impl Fn() -> bool) -> (Histogram<u64>, usize) {
     let mut latency = histogram();
     let mut failed = 0;
-    for _ in 0..CALLS {
+    for _ in 0..CALLS_PER_THREAD {
         let start = Instant::now();
         if !call() {
             failed += 1;
@@ -99,7 +100,7 @@
     (latency, failed)
 }
 
-fn call_kept(client: &Client, address: SocketAddr, fresh: bool) -> bool {
+fn call_client(client: &Client, address: SocketAddr, fresh: bool) -> bool {
     let call = Call {
         address,
         method: Method::POST,
@@ -109,7 +110,7 @@
         timeout: Duration::from_secs(5),
         fresh,
     };
-    client.call(&call).is_ok_and(|answer| answer.body.len() == BODY_BYTES)
+    client.call(&call).is_ok_and(|response| response.body.len() == BODY_BYTES)
 }
 
 fn call_oxhttp(address: SocketAddr) -> bool {
@@ -118,26 +119,27 @@
     let request = Request::post(format!("http://{address}/"))
         .body(Body::from(vec![7; BODY_BYTES]))
         .expect("the request is valid");
-    let answer = client.request(request).and_then(|response| response.into_body().to_vec());
-    answer.is_ok_and(|body| body.len() == BODY_BYTES)
+    let body = client.request(request).and_then(|response| response.into_body().to_vec());
+    body.is_ok_and(|body| body.len() == BODY_BYTES)
 }
 
-fn print(line: &Line) {
-    let rate = (line.threads * CALLS) as f64 / line.seconds;
-    let at = |quantile| line.latency.value_at_quantile(quantile);
+fn print_row(measurement: &Measurement) {
+    let rate = (measurement.threads * CALLS_PER_THREAD) as f64 / measurement.seconds;
+    let micros_at = |quantile| measurement.latency.value_at_quantile(quantile);
     println!(
         "{:22} {:7} {:8.0} {:7} {:7} {:7} {:7}",
-        line.name,
-        line.threads,
+        measurement.name,
+        measurement.threads,
         rate,
-        at(0.5),
-        at(0.95),
-        at(0.99),
-        line.failed
+        micros_at(0.5),
+        micros_at(0.95),
+        micros_at(0.99),
+        measurement.failed
     );
 }
 
-/// Reads a stream of events and prints when its first and last arrived.
+/// Reads a stream of events and prints the arrival times of the first and the
+/// last one.
 fn print_stream(name: &str, address: SocketAddr) -> std::io::Result<()> {
     let start = Instant::now();
     let response = ureq::get(format!("http://{address}/")).call().map_err(std::io::Error::other)?;
@@ -152,7 +154,7 @@
     Ok(())
 }
 
-fn oxhttp_server(address: SocketAddr) -> std::io::Result<oxhttp::ListeningServer> {
+fn start_oxhttp_server(address: SocketAddr) -> std::io::Result<oxhttp::ListeningServer> {
     use oxhttp::model::{Body, Response};
     oxhttp::Server::new(|_| {
         Response::builder().body(Body::from_read(Events(0))).expect("the response is valid")
@@ -161,7 +163,9 @@
     .spawn()
 }
 
-/// A body of events, one a read, with time between.
+/// A response body that yields one event per read, at [`EVENT_INTERVAL`].
+///
+/// Holds the number of events yielded so far.
 struct Events(usize);
 
 impl Read for Events {
@@ -180,5 +184,5 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(MAX_MICROS, 3).expect("the bounds are valid")
+    Histogram::new_with_max(MAX_LATENCY_MICROS, 3).expect("the bounds are valid")
 }
--- a/mimosabench/src/lib.rs
+++ b/mimosabench/src/lib.rs
@@ -1,6 +1,6 @@
-//! Measures of routers and their policies.
+//! Benchmarks of routers and their scheduling policies.
 
-pub mod added;
+pub mod added_latency;
 pub mod clients;
 pub mod load;
 pub mod policy;
--- a/mimosabench/src/load.rs
+++ b/mimosabench/src/load.rs
@@ -1,7 +1,8 @@
-//! Open-loop load over real sockets, with every answer checked.
+//! Open-loop load generator over real sockets that verifies every response.
 //!
-//! Requests are due at times that do not depend on earlier answers; latency
-//! counts from when a request was due, so a stall shows in full.
+//! Request times are independent of earlier responses. Latency is measured from
+//! the time at which a request was due, so that the latencies of the requests
+//! delayed by a stall include the delay.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -20,39 +21,40 @@
 
 use crate::report::{Outcome, Report};
 
-/// Time between two looks at a router's readiness.
-const READY_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval and timeout of the readiness checks of the routers.
+const READINESS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is sent, and where to.
+/// Configuration of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
-    /// Callers' addresses of the routers; those that are ready share the load.
+    /// Addresses on which the routers serve callers; the load is spread over
+    /// those that are ready.
     pub targets: Vec<SocketAddr>,
     /// Bearer token of the calling team.
     pub token: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long requests become due.
+    /// Length of the period over which requests are scheduled.
     pub duration: Duration,
-    /// Connections at most; a request that finds none free waits, and its
-    /// latency counts.
+    /// Maximum number of connections. A request waits while all are in use,
+    /// and the wait is part of its latency.
     pub connections: usize,
-    /// What each request asks for.
+    /// Kind of request that is sent.
     pub workload: Workload,
-    /// Seed of prompts and arrival times.
+    /// Seed of the prompts and the arrival times.
     pub seed: u64,
 }
 
-/// What a request asks for.
+/// Kind of request and its parameters.
 #[derive(Clone, Debug)]
 pub enum Workload {
     /// A streamed completion, checked token by token.
     Completion {
-        /// Model as callers name it.
+        /// Model name used by callers.
         model: String,
-        /// Its number of layers.
+        /// Number of layers of the model.
         layers: u16,
-        /// Its version.
+        /// Version of the model.
         version: u32,
         /// Prompt length in tokens.
         prompt_tokens: usize,
@@ -63,49 +65,49 @@
     Posting {
         /// Name of the service.
         service: String,
-        /// Start of each body, to tell runs apart.
+        /// Prefix of each body, which distinguishes runs.
         label: String,
     },
 }
 
-/// One request that is due.
-struct Due {
-    at: Instant,
+/// A request and the time at which it is due.
+struct ScheduledRequest {
+    due_at: Instant,
     number: u64,
 }
 
-/// The routers that are ready, as a balancer would see them.
+/// Round-robin load balancer over the routers that are ready.
 struct Balancer {
     targets: Vec<SocketAddr>,
     ready: Mutex<Vec<SocketAddr>>,
-    next: AtomicUsize,
+    next_index: AtomicUsize,
 }
 
-/// Sends the planned load and reports on every request.
+/// Sends the configured load and reports the outcomes of all requests.
 pub fn run(config: &LoadConfig) -> Report {
     let balancer = Arc::new(Balancer::new(config.targets.clone()));
     let (sender, receiver) = bounded(config.connections * 64);
     let report = Arc::new(Mutex::new(Report::default()));
-    let stop = Instant::now() + config.duration;
+    let end = Instant::now() + config.duration;
     thread::scope(|scope| {
-        scope.spawn(|| balancer.watch(stop));
+        scope.spawn(|| balancer.poll_readiness(end));
         for _ in 0..config.connections {
             let (receiver, report) = (receiver.clone(), Arc::clone(&report));
             let balancer = &balancer;
-            scope.spawn(move || work(config, balancer, &receiver, &report));
+            scope.spawn(move || run_worker(config, balancer, &receiver, &report));
         }
         drop(receiver);
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
-        let mut at = Instant::now();
+        let mut due_at = Instant::now();
         let mut number = 0;
-        while at < stop {
-            thread::sleep(at.saturating_duration_since(Instant::now()));
-            if sender.send(Due { at, number }).is_err() {
+        while due_at < end {
+            thread::sleep(due_at.saturating_duration_since(Instant::now()));
+            if sender.send(ScheduledRequest { due_at, number }).is_err() {
                 break;
             }
             number += 1;
-            let gap = -(1.0 - rng.random::<f64>()).ln() / config.rate;
-            at += Duration::from_secs_f64(gap);
+            let interval = -(1.0 - rng.random::<f64>()).ln() / config.rate;
+            due_at += Duration::from_secs_f64(interval);
         }
         drop(sender);
     });
@@ -114,7 +116,12 @@
     report
 }
 
-fn work(config: &LoadConfig, balancer: &Balancer, due: &Receiver<Due>, report: &Mutex<Report>) {
+fn run_worker(
+    config: &LoadConfig,
+    balancer: &Balancer,
+    requests: &Receiver<ScheduledRequest>,
+    report: &Mutex<Report>,
+) {
     let agent = Agent::config_builder()
         .http_status_as_error(false)
         .proxy(None)
@@ -122,12 +129,12 @@
         .timeout_global(Some(Duration::from_secs(60)))
         .build()
         .new_agent();
-    for due in due {
+    for request in requests {
         let outcome = match &config.workload {
-            Workload::Completion { .. } => complete(config, balancer, &agent, &due, report),
-            Workload::Posting { .. } => post(config, balancer, &agent, &due),
+            Workload::Completion { .. } => complete(config, balancer, &agent, &request, report),
+            Workload::Posting { .. } => post(config, balancer, &agent, &request),
         };
-        report.lock().expect("no worker panics").record(outcome, due.at.elapsed());
+        report.lock().expect("no worker panics").record(outcome, request.due_at.elapsed());
     }
 }
 
@@ -135,31 +142,31 @@
     config: &LoadConfig,
     balancer: &Balancer,
     agent: &Agent,
-    due: &Due,
+    request: &ScheduledRequest,
     report: &Mutex<Report>,
 ) -> Outcome {
     let Workload::Completion { model, layers, version, prompt_tokens, tokens } = &config.workload
     else {
         return Outcome::Lost;
     };
-    let prompt = prompt(config.seed, due.number, *prompt_tokens);
+    let prompt = prompt(config.seed, request.number, *prompt_tokens);
     let body = serde_json::json!({
         "model": model, "prompt": prompt, "max_tokens": tokens, "stream": true,
     });
-    let url = format!("http://{}/v1/completions", balancer.pick());
-    let sent = agent
+    let url = format!("http://{}/v1/completions", balancer.next_target());
+    let result = agent
         .post(url)
         .header("authorization", format!("Bearer {}", config.token))
         .send(body.to_string());
-    let response = match sent {
+    let response = match result {
         Ok(response) => response,
         Err(_) => return Outcome::Lost,
     };
     if !response.status().is_success() {
-        return refusal(response);
+        return error_outcome(response);
     }
     let expected = oracle::answer(*layers, *version, &encode_text(&prompt), *tokens);
-    let mut last = due.at;
+    let mut last_token_at = request.due_at;
     let mut text = String::new();
     let mut gaps = Vec::new();
     for line in BufReader::new(response.into_body().into_reader()).lines() {
@@ -174,34 +181,39 @@
         if event.get("error").is_some() {
             return Outcome::CutShort;
         }
-        let piece = event["choices"][0]["text"].as_str().unwrap_or_default();
-        if !piece.is_empty() {
-            gaps.push(last.elapsed());
-            last = Instant::now();
-            text.push_str(piece);
+        let token_text = event["choices"][0]["text"].as_str().unwrap_or_default();
+        if !token_text.is_empty() {
+            gaps.push(last_token_at.elapsed());
+            last_token_at = Instant::now();
+            text.push_str(token_text);
         }
     }
     Outcome::CutShort
 }
 
-fn post(config: &LoadConfig, balancer: &Balancer, agent: &Agent, due: &Due) -> Outcome {
+fn post(
+    config: &LoadConfig,
+    balancer: &Balancer,
+    agent: &Agent,
+    request: &ScheduledRequest,
+) -> Outcome {
     let Workload::Posting { service, label } = &config.workload else { return Outcome::Lost };
-    let body = format!("{label}-{}", due.number);
-    let url = format!("http://{}/services/{service}/postings", balancer.pick());
-    let sent = agent
+    let body = format!("{label}-{}", request.number);
+    let url = format!("http://{}/services/{service}/postings", balancer.next_target());
+    let result = agent
         .post(url)
         .header("authorization", format!("Bearer {}", config.token))
         .header("idempotency-key", &body)
         .send(body.clone());
-    match sent {
+    match result {
         Ok(response) if response.status().is_success() => Outcome::Whole,
-        Ok(response) => refusal(response),
+        Ok(response) => error_outcome(response),
         Err(_) => Outcome::Lost,
     }
 }
 
-/// What a refusal says about whether the work ran.
-fn refusal(response: ureq::http::Response<ureq::Body>) -> Outcome {
+/// Maps an error response to the outcome given by its effect.
+fn error_outcome(response: ureq::http::Response<ureq::Body>) -> Outcome {
     let text = response.into_body().read_to_string().unwrap_or_default();
     let problem: Value = serde_json::from_str(&text).unwrap_or_default();
     match problem["effect"].as_str() {
@@ -211,7 +223,7 @@
     }
 }
 
-/// A prompt that no other request of the run has.
+/// A prompt that is unique within a run.
 fn prompt(seed: u64, number: u64, length: usize) -> String {
     let mut text = format!("{seed}/{number}:");
     while text.len() < length {
@@ -223,27 +235,27 @@
 
 impl Balancer {
     fn new(targets: Vec<SocketAddr>) -> Self {
-        Self { ready: Mutex::new(targets.clone()), targets, next: AtomicUsize::new(0) }
+        Self { ready: Mutex::new(targets.clone()), targets, next_index: AtomicUsize::new(0) }
     }
 
-    fn pick(&self) -> SocketAddr {
+    fn next_target(&self) -> SocketAddr {
         let ready = self.ready.lock().expect("no worker panics");
-        let among = if ready.is_empty() { &self.targets } else { &*ready };
-        among[self.next.fetch_add(1, Ordering::Relaxed) % among.len()]
+        let targets = if ready.is_empty() { &self.targets } else { &*ready };
+        targets[self.next_index.fetch_add(1, Ordering::Relaxed) % targets.len()]
     }
 
-    fn watch(&self, stop: Instant) {
+    fn poll_readiness(&self, end: Instant) {
         let agent = Agent::config_builder()
             .proxy(None)
-            .timeout_global(Some(READY_INTERVAL))
+            .timeout_global(Some(READINESS_INTERVAL))
             .build()
             .new_agent();
-        while Instant::now() < stop {
+        while Instant::now() < end {
             let is_ready =
                 |target: &&SocketAddr| agent.get(format!("http://{target}/readyz")).call().is_ok();
             let ready = self.targets.iter().filter(is_ready).copied().collect();
             *self.ready.lock().expect("no worker panics") = ready;
-            thread::sleep(READY_INTERVAL);
+            thread::sleep(READINESS_INTERVAL);
         }
     }
 }
--- a/mimosabench/src/main.rs
+++ b/mimosabench/src/main.rs
@@ -1,9 +1,9 @@
-//! The load tool and policy benchmarks.
+//! Command line of the load generator and the benchmarks.
 
 use std::process::ExitCode;
 use std::time::Duration;
 
-use mimosabench::added;
+use mimosabench::added_latency;
 use mimosabench::clients;
 use mimosabench::load::{self, LoadConfig, Workload};
 use mimosabench::policy::{self, measure};
@@ -90,15 +90,15 @@
 }
 
 fn run_added(flags: &flags::Added) -> ExitCode {
-    exit(added::run(flags.requests.unwrap_or(200)))
+    exit_code(added_latency::run(flags.requests.unwrap_or(200)))
 }
 
 fn run_clients() -> ExitCode {
-    exit(clients::run())
+    exit_code(clients::run())
 }
 
-fn exit(ended: Result<(), impl std::fmt::Display>) -> ExitCode {
-    match ended {
+fn exit_code(result: Result<(), impl std::fmt::Display>) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("mimosabench: {error}");
@@ -162,14 +162,14 @@
     match policy::draw(folder, &throughputs, &recoveries) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("mimosabench: cannot draw into {}: {error}", folder.display());
+            eprintln!("mimosabench: cannot write plots to {}: {error}", folder.display());
             ExitCode::FAILURE
         }
     }
 }
 
 fn run_slopes(flags: &flags::Slopes) -> ExitCode {
-    exit(slopes::measure(flags.role.as_deref()).and_then(|all| {
+    exit_code(slopes::measure(flags.role.as_deref()).and_then(|all| {
         print!("{}", slopes::to_text(&all));
         flags.write.iter().try_for_each(|path| slopes::page::write(path, &all))
     }))
--- a/mimosabench/src/report.rs
+++ b/mimosabench/src/report.rs
@@ -1,44 +1,47 @@
-//! What became of the requests of a run.
+//! Request outcomes and latencies of a load run.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-/// Longest latency that is told apart, in microseconds.
-const MAX_MICROS: u64 = 120_000_000;
+/// Upper bound of the latency histograms, in microseconds; higher values are
+/// clamped to it.
+const MAX_LATENCY_MICROS: u64 = 120_000_000;
 
-/// What became of one request.
+/// How one request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered once, whole and right.
+    /// One response, complete and correct.
     Whole,
-    /// Answered whole, but wrong. Must never happen.
+    /// A complete response with wrong content, which must never happen.
     Wrong,
-    /// Cut short, visibly.
+    /// A response truncated in a way that the client can detect.
     CutShort,
-    /// Refused with effect `not-run`.
+    /// An error response with effect `not-run`.
     NotRun,
-    /// Answered with effect `unknown`.
+    /// An error response with effect `unknown`.
     Unknown,
-    /// Answered with effect `failed`.
+    /// An error response with effect `failed`, or without a known effect.
     Failed,
-    /// No answer.
+    /// No response.
     Lost,
 }
 
-/// Counts and latencies of a run.
+/// Outcome counts and latency histograms of a run.
 pub struct Report {
-    /// Seconds in which requests became due.
+    /// Length of the period over which requests were scheduled, in seconds.
     pub seconds: f64,
     counts: [u64; 7],
     latency: Histogram<u64>,
-    first: Histogram<u64>,
-    between: Histogram<u64>,
+    first_token: Histogram<u64>,
+    inter_token: Histogram<u64>,
 }
 
 impl Report {
-    /// Notes one request and the time since it was due.
+    /// Records the outcome of a request and the time since it was due.
+    ///
+    /// Only the latencies of [`Outcome::Whole`] requests enter the histogram.
     pub fn record(&mut self, outcome: Outcome, latency: Duration) {
         self.counts[outcome as usize] += 1;
         if outcome == Outcome::Whole {
@@ -46,20 +49,20 @@
         }
     }
 
-    /// Notes the times of one answer's tokens: the first since it was due,
-    /// each other since the one before.
+    /// Records the token latencies of one response: that of the first token
+    /// since the request was due, that of each later one since the previous.
     pub fn record_token_gaps(&mut self, gaps: &[Duration]) {
         let Some((first, rest)) = gaps.split_first() else { return };
-        record_micros(&mut self.first, *first);
-        rest.iter().for_each(|gap| record_micros(&mut self.between, *gap));
+        record_micros(&mut self.first_token, *first);
+        rest.iter().for_each(|gap| record_micros(&mut self.inter_token, *gap));
     }
 
-    /// How many requests ended so.
+    /// Number of requests with this outcome.
     pub const fn count(&self, outcome: Outcome) -> u64 {
         self.counts[outcome as usize]
     }
 
-    /// How many requests were sent.
+    /// Number of requests sent.
     pub fn sent(&self) -> u64 {
         self.counts.iter().sum()
     }
@@ -77,37 +80,38 @@
             "failed": self.count(Outcome::Failed),
             "lost": self.count(Outcome::Lost),
             "latency_ms": quantiles(&self.latency),
-            "first_token_ms": quantiles(&self.first),
-            "between_tokens_ms": quantiles(&self.between),
+            "first_token_ms": quantiles(&self.first_token),
+            "between_tokens_ms": quantiles(&self.inter_token),
         })
     }
 
-    /// The report as lines of text.
+    /// The report as text, one line per value.
     pub fn to_text(&self) -> String {
         let json = self.to_json();
-        let members = json.as_object().expect("the report is an object");
-        members.iter().map(|(name, value)| format!("{name:18} {value}\n")).collect()
+        let entries = json.as_object().expect("the report is an object");
+        entries.iter().map(|(name, value)| format!("{name:18} {value}\n")).collect()
     }
 }
 
 impl Default for Report {
     fn default() -> Self {
-        let histogram = || Histogram::new_with_max(MAX_MICROS, 3).expect("the bounds are valid");
+        let histogram =
+            || Histogram::new_with_max(MAX_LATENCY_MICROS, 3).expect("the bounds are valid");
         Self {
             seconds: 0.0,
             counts: [0; 7],
             latency: histogram(),
-            first: histogram(),
-            between: histogram(),
+            first_token: histogram(),
+            inter_token: histogram(),
         }
     }
 }
 
-fn record_micros(histogram: &mut Histogram<u64>, time: Duration) {
-    histogram.saturating_record(u64::try_from(time.as_micros()).unwrap_or(MAX_MICROS));
+fn record_micros(histogram: &mut Histogram<u64>, duration: Duration) {
+    histogram.saturating_record(u64::try_from(duration.as_micros()).unwrap_or(MAX_LATENCY_MICROS));
 }
 
 fn quantiles(histogram: &Histogram<u64>) -> Value {
-    let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
-    json!({"p50": at(0.50), "p95": at(0.95), "p99": at(0.99), "max": histogram.max() as f64 / 1_000.0})
+    let millis_at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
+    json!({"p50": millis_at(0.50), "p95": millis_at(0.95), "p99": millis_at(0.99), "max": histogram.max() as f64 / 1_000.0})
 }
