--- a/mimosabench/src/load.rs
+++ b/mimosabench/src/load.rs
@@ -165,7 +165,7 @@
     if !response.status().is_success() {
         return error_outcome(response);
     }
-    let expected = oracle::answer(*layers, *version, &encode_text(&prompt), *tokens);
+    let expected = oracle::generate(*layers, *version, &encode_text(&prompt), *tokens);
     let mut last_token_at = request.due_at;
     let mut text = String::new();
     let mut gaps = Vec::new();
--- a/mimosastandin/src/demo/fault.rs
+++ b/mimosastandin/src/demo/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of the local run.
+//! Faults that the demo can inject.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,16 +6,17 @@
 use crate::testbed::Testbed;
 use crate::{engine, platform};
 
-/// What to break while the sample runs.
+/// Fault to inject while the sample workload runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// One engine closes every connection.
+    /// The busiest engine closes every connection.
     KillStage,
-    /// The open connections of one engine go silent; new ones work.
+    /// The open connections of the busiest engine get no response; new ones
+    /// work.
     SilenceConnections,
-    /// Every engine of one failure domain is gone.
+    /// Every engine of one failure domain closes every connection.
     LoseDomain,
-    /// The platform answers nothing.
+    /// The platform closes every connection.
     StopTable,
 }
 
@@ -24,7 +25,7 @@
     pub const ALL: [Self; 4] =
         [Self::KillStage, Self::SilenceConnections, Self::LoseDomain, Self::StopTable];
 
-    /// The name on the command line.
+    /// Name of the fault on the command line.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::KillStage => "kill-stage",
@@ -34,30 +35,34 @@
         }
     }
 
-    /// Breaks the testbed so.
-    pub(super) fn set(self, testbed: &Testbed) {
-        let busiest = || testbed.engines.iter().max_by_key(|placed| placed.instance.steps());
+    /// Injects the fault into the testbed.
+    pub(super) fn inject(self, testbed: &Testbed) {
+        let busiest = || testbed.engines.iter().max_by_key(|engine| engine.instance.steps());
         match self {
             Self::KillStage => {
-                busiest().into_iter().for_each(|p| p.instance.set_fault(engine::Fault::Dead));
+                busiest()
+                    .into_iter()
+                    .for_each(|engine| engine.instance.set_fault(engine::Fault::Dead));
             }
             Self::SilenceConnections => {
-                busiest().into_iter().for_each(|p| p.instance.set_fault(engine::Fault::Silent));
+                busiest()
+                    .into_iter()
+                    .for_each(|engine| engine.instance.set_fault(engine::Fault::Silent));
             }
             Self::LoseDomain => testbed
                 .engines
                 .iter()
-                .filter(|placed| placed.domain == testbed.engines[0].domain)
-                .for_each(|placed| placed.instance.set_fault(engine::Fault::Dead)),
+                .filter(|engine| engine.domain == testbed.engines[0].domain)
+                .for_each(|engine| engine.instance.set_fault(engine::Fault::Dead)),
             Self::StopTable => testbed.platform.set_fault(platform::Fault::Down),
         }
     }
 
-    /// Repairs the testbed.
+    /// Clears all faults of the testbed.
     pub(super) fn clear(testbed: &Testbed) {
         testbed.platform.set_fault(platform::Fault::None);
-        for placed in &testbed.engines {
-            placed.instance.set_fault(engine::Fault::None);
+        for engine in &testbed.engines {
+            engine.instance.set_fault(engine::Fault::None);
         }
     }
 }
--- a/mimosastandin/src/demo/mod.rs
+++ b/mimosastandin/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! The local run: a testbed in one process and a sample of what it does.
+//! Demo: a testbed in one process and a sample workload.
 
 use std::io;
 
@@ -16,7 +16,7 @@
 pub use fault::Fault;
 
 quick_error! {
-    /// Why the local run failed.
+    /// Why the demo failed.
     #[derive(Debug)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
@@ -25,11 +25,11 @@
             from()
             display("{}", error)
         }
-        /// A step of the sample did not do what it should.
+        /// A step of the sample workload gave a wrong result.
         Sample { step: &'static str, reason: String } {
             display("{}: {}", step, reason)
         }
-        /// Signals cannot be waited for.
+        /// Waiting for signals failed.
         Signals(error: io::Error) {
             from()
             display("cannot wait for signals: {}", error)
@@ -37,23 +37,24 @@
     }
 }
 
-/// What the local run is asked to do.
+/// Options of the demo.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Plan {
-    /// Whether to end after the sample.
+pub struct Options {
+    /// Whether to exit after the sample workload.
     pub once: bool,
-    /// What to break while the sample runs.
+    /// Fault to inject while the sample workload runs.
     pub fault: Option<Fault>,
 }
 
-/// Runs the sample, then serves until a signal unless told otherwise.
-pub fn run(plan: Plan) -> Result<(), Error> {
+/// Runs the sample workload, then serves until SIGINT or SIGTERM unless
+/// `options.once` is set.
+pub fn run(options: Options) -> Result<(), Error> {
     let settings = Log { form: Form::Terminal, level: event::Level::Warning };
     let (log, _guard) = event::logger(&settings);
     let testbed = Testbed::start(&log)?;
     print_addresses(&testbed);
-    sample::run(&testbed, plan.fault)?;
-    if plan.once {
+    sample::run(&testbed, options.fault)?;
+    if options.once {
         return Ok(());
     }
     print_hints(&testbed);
@@ -64,8 +65,8 @@
 fn print_addresses(testbed: &Testbed) {
     println!("platform   {}", testbed.platform.address());
     println!("service    {}", testbed.service.address());
-    for placed in &testbed.engines {
-        println!("engine     {}  {}", placed.instance.address(), placed.name);
+    for engine in &testbed.engines {
+        println!("engine     {}  {}", engine.instance.address(), engine.name);
     }
     for (index, router) in testbed.routers.iter().enumerate() {
         let (callers, operators) = (router.callers(), router.operators());
--- a/mimosastandin/src/demo/sample.rs
+++ b/mimosastandin/src/demo/sample.rs
@@ -1,4 +1,4 @@
-//! The sample: each step says what it does, does it and checks the result.
+//! Sample workload of the demo: each step checks its result and prints it.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -13,25 +13,25 @@
 use crate::oracle;
 use crate::testbed::{CALLER_TOKEN, LAYERS, MODEL, OPERATOR_TOKEN, Testbed};
 
-/// Longest wait for a change to be in force.
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(10);
+/// Longest wait for a revision to be in force on all routers.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Callers and requests of each while a fault is set.
-const CALLERS: usize = 8;
-const REQUESTS: usize = 6;
+/// Number of concurrent callers during a fault, and of the requests of each.
+const CONCURRENT_CALLERS: usize = 8;
+const REQUESTS_PER_CALLER: usize = 6;
 
-/// Tokens of each sample answer.
-const TOKENS: u32 = 40;
+/// Number of tokens of each completion.
+const MAX_TOKENS: u32 = 40;
 
-/// Runs every step.
+/// Runs all steps.
 pub(super) fn run(testbed: &Testbed, fault: Option<Fault>) -> Result<(), Error> {
     let sample = Sample { testbed, client: Client::new(Default::default()) };
     sample.configure()?;
-    sample.complete()?;
+    sample.run_completion()?;
     sample.post_twice()?;
-    sample.change()?;
+    sample.change_route()?;
     if let Some(fault) = fault {
-        sample.survive(fault)?;
+        sample.run_under_fault(fault)?;
     }
     Ok(())
 }
@@ -62,12 +62,13 @@
         Ok(())
     }
 
-    fn complete(&self) -> Result<(), Error> {
+    fn run_completion(&self) -> Result<(), Error> {
         let step = "completion";
         let start = Instant::now();
-        let text = self.ask(step, self.testbed.routers[1].callers(), "Which shade?")?;
+        let text =
+            self.check_completion(step, self.testbed.routers[1].callers(), "Which shade?")?;
         println!(
-            "{step}: {TOKENS} tokens over 3 stages in {} ms: {text}",
+            "{step}: {MAX_TOKENS} tokens over 3 stages in {} ms: {text}",
             start.elapsed().as_millis()
         );
         Ok(())
@@ -80,16 +81,19 @@
         for router in &self.testbed.routers[..2] {
             let headers = [("idempotency-key", "carton-17")];
             let path = "/services/operations/orders";
-            let answer = self.call(step, router.callers(), Method::POST, path, &headers, body)?;
-            statuses.push(answer.status.as_u16());
+            let response =
+                self.call_as_caller(step, router.callers(), Method::POST, path, &headers, body)?;
+            statuses.push(response.status.as_u16());
         }
         let runs = self.testbed.service.runs().get(body).copied().unwrap_or(0);
-        ensure(step, runs == 1, || format!("it ran {runs} times, answers {statuses:?}"))?;
-        println!("{step}: sent twice with one key to two routers, answers {statuses:?}, ran once");
+        ensure(step, runs == 1, || format!("ran {runs} times; statuses {statuses:?}"))?;
+        println!(
+            "{step}: sent to two routers with one idempotency key, statuses {statuses:?}, ran once"
+        );
         Ok(())
     }
 
-    fn change(&self) -> Result<(), Error> {
+    fn change_route(&self) -> Result<(), Error> {
         let step = "change";
         let spec = json!({"model": MODEL, "pipeline": MODEL, "deadline_ms": 5_000});
         let revision = self.apply(step, "route", MODEL, &spec)?;
@@ -98,75 +102,85 @@
         Ok(())
     }
 
-    /// Breaks the testbed while requests run; each must be whole and right.
-    fn survive(&self, fault: Fault) -> Result<(), Error> {
+    /// Injects a fault while requests run; every response must be complete and
+    /// correct.
+    fn run_under_fault(&self, fault: Fault) -> Result<(), Error> {
         let step = "fault";
         let routers = &self.testbed.routers;
         let slowest = thread::scope(|scope| {
-            let callers: Vec<_> = (0..CALLERS)
+            let callers: Vec<_> = (0..CONCURRENT_CALLERS)
                 .map(|caller| {
-                    let to = routers[caller % routers.len()].callers();
-                    scope.spawn(move || self.ask_many(step, to, caller))
+                    let address = routers[caller % routers.len()].callers();
+                    scope.spawn(move || self.check_completions(step, address, caller))
                 })
                 .collect();
             thread::sleep(Duration::from_millis(100));
-            fault.set(self.testbed);
+            fault.inject(self.testbed);
             let results: Vec<_> =
                 callers.into_iter().map(|c| c.join().expect("callers do not panic")).collect();
             results
                 .into_iter()
-                .try_fold(Duration::ZERO, |most, took| Ok::<_, Error>(most.max(took?)))
+                .try_fold(Duration::ZERO, |slowest, result| Ok::<_, Error>(slowest.max(result?)))
         })?;
         let refused =
-            if fault == Fault::StopTable { Some(self.refused_posting(step)?) } else { None };
+            if fault == Fault::StopTable { Some(self.check_posting_refused(step)?) } else { None };
         Fault::clear(self.testbed);
         println!(
-            "{step}: {fault} while {} requests ran: all whole and right, the slowest in {} ms",
-            CALLERS * REQUESTS,
+            "{step}: {fault} during {} requests: all complete and correct, the slowest after {} ms",
+            CONCURRENT_CALLERS * REQUESTS_PER_CALLER,
             slowest.as_millis()
         );
         if let Some(code) = refused {
-            println!("{step}: a keyed posting meanwhile was refused, not run: {code}");
+            println!(
+                "{step}: a posting with an idempotency key was refused and did not run: {code}"
+            );
         }
         Ok(())
     }
 
-    fn ask_many(
+    fn check_completions(
         &self,
         step: &'static str,
-        to: SocketAddr,
+        address: SocketAddr,
         caller: usize,
     ) -> Result<Duration, Error> {
         let mut slowest = Duration::ZERO;
-        for request in 0..REQUESTS {
+        for request in 0..REQUESTS_PER_CALLER {
             let start = Instant::now();
-            self.ask(step, to, &format!("{caller}/{request}"))?;
+            self.check_completion(step, address, &format!("{caller}/{request}"))?;
             slowest = slowest.max(start.elapsed());
         }
         Ok(slowest)
     }
 
-    fn refused_posting(&self, step: &'static str) -> Result<String, Error> {
+    fn check_posting_refused(&self, step: &'static str) -> Result<String, Error> {
         let headers = [("idempotency-key", "carton-18")];
-        let (to, path) = (self.testbed.routers[0].callers(), "/services/operations/orders");
-        let answer = self.call(step, to, Method::POST, path, &headers, "carton 18")?;
-        let problem = parse(&answer);
-        let effect = problem["effect"].as_str() == Some("not-run");
-        ensure(step, effect, || format!("the posting was answered {problem}"))?;
+        let (address, path) = (self.testbed.routers[0].callers(), "/services/operations/orders");
+        let response =
+            self.call_as_caller(step, address, Method::POST, path, &headers, "carton 18")?;
+        let problem = parse(&response);
+        let not_run = problem["effect"].as_str() == Some("not-run");
+        ensure(step, not_run, || format!("posting not refused as not run: {problem}"))?;
         Ok(problem["code"].as_str().unwrap_or_default().to_owned())
     }
 
-    /// Asks for a completion and compares it with the model's arithmetic.
-    fn ask(&self, step: &'static str, to: SocketAddr, prompt: &str) -> Result<String, Error> {
-        let body = json!({"model": MODEL, "prompt": prompt, "max_tokens": TOKENS}).to_string();
-        let answer = self.call(step, to, Method::POST, "/v1/completions", &[], &body)?;
-        let json = parse(&answer);
+    /// Requests a completion and compares it with the reference model.
+    fn check_completion(
+        &self,
+        step: &'static str,
+        address: SocketAddr,
+        prompt: &str,
+    ) -> Result<String, Error> {
+        let body = json!({"model": MODEL, "prompt": prompt, "max_tokens": MAX_TOKENS}).to_string();
+        let response =
+            self.call_as_caller(step, address, Method::POST, "/v1/completions", &[], &body)?;
+        let json = parse(&response);
         let text = json["choices"][0]["text"].as_str().unwrap_or_default().to_owned();
-        let expected: String = oracle::answer(LAYERS, 1, &encode_text(prompt), TOKENS)
+        let expected: String = oracle::generate(LAYERS, 1, &encode_text(prompt), MAX_TOKENS)
             .into_iter()
             .map(decode_token)
             .collect();
-        ensure(step, text == expected, || format!("the answer is {json}"))?;
+        ensure(step, text == expected, || format!("text must be {expected:?}: {json}"))?;
         Ok(text)
     }
 
@@ -178,66 +192,67 @@
         spec: &Value,
     ) -> Result<u64, Error> {
         let path = format!("/api/v1/{kind}/{name}");
-        let to = self.testbed.routers[0].operators();
-        let answer = self.operate(step, to, Method::PUT, &path, &spec.to_string())?;
-        answer["revision"].as_u64().ok_or_else(|| Error::Sample {
+        let address = self.testbed.routers[0].operators();
+        let response =
+            self.call_operator_api(step, address, Method::PUT, &path, &spec.to_string())?;
+        response["revision"].as_u64().ok_or_else(|| Error::Sample {
             step,
-            reason: format!("{kind} {name:?} was answered {answer}"),
+            reason: format!("no revision in the response to {kind} {name:?}: {response}"),
         })
     }
 
     fn wait_in_force(&self, step: &'static str, revision: u64) -> Result<Duration, Error> {
         let start = Instant::now();
         let path = format!("/api/v1/in-force?revision={revision}");
-        let everywhere = |answer: &Value| {
-            let domains = answer["domains"].as_object();
-            let count = |of: &str| -> u64 {
-                domains.into_iter().flatten().filter_map(|(_, d)| d[of].as_u64()).sum()
+        let is_in_force = |response: &Value| {
+            let domains = response["domains"].as_object();
+            let count = |field: &str| -> u64 {
+                domains.into_iter().flatten().filter_map(|(_, d)| d[field].as_u64()).sum()
             };
             count("installed") == self.testbed.routers.len() as u64
         };
         loop {
-            let to = self.testbed.routers[0].operators();
-            let answer = self.operate(step, to, Method::GET, &path, "")?;
-            if everywhere(&answer) {
+            let address = self.testbed.routers[0].operators();
+            let response = self.call_operator_api(step, address, Method::GET, &path, "")?;
+            if is_in_force(&response) {
                 return Ok(start.elapsed());
             }
-            let late = start.elapsed() > IN_FORCE_LIMIT;
-            ensure(step, !late, || format!("revision {revision} is in force on {answer}"))?;
+            let expired = start.elapsed() > IN_FORCE_TIMEOUT;
+            ensure(step, !expired, || format!("revision {revision} is not in force: {response}"))?;
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    fn operate(
+    fn call_operator_api(
         &self,
         step: &'static str,
-        to: SocketAddr,
+        address: SocketAddr,
         method: Method,
         path: &str,
         body: &str,
     ) -> Result<Value, Error> {
         let bearer = format!("Bearer {OPERATOR_TOKEN}");
         let headers = [("authorization", bearer.as_str())];
-        let answer = self.exchange(step, to, method, path, &headers, body)?;
-        Ok(parse(&answer))
+        let response = self.send(step, address, method, path, &headers, body)?;
+        Ok(parse(&response))
     }
 
-    fn call(
+    fn call_as_caller(
         &self,
         step: &'static str,
-        to: SocketAddr,
+        address: SocketAddr,
         method: Method,
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
     ) -> Result<Answer, Error> {
         let bearer = format!("Bearer {CALLER_TOKEN}");
-        let mut all = vec![("authorization", bearer.as_str())];
-        all.extend_from_slice(headers);
-        self.exchange(step, to, method, path, &all, body)
+        let mut all_headers = vec![("authorization", bearer.as_str())];
+        all_headers.extend_from_slice(headers);
+        self.send(step, address, method, path, &all_headers, body)
     }
 
-    fn exchange(
+    fn send(
         &self,
         step: &'static str,
         address: SocketAddr,
@@ -252,10 +267,14 @@
     }
 }
 
-fn parse(answer: &Answer) -> Value {
-    serde_json::from_slice(&answer.body).unwrap_or_default()
+fn parse(response: &Answer) -> Value {
+    serde_json::from_slice(&response.body).unwrap_or_default()
 }
 
-fn ensure(step: &'static str, holds: bool, reason: impl FnOnce() -> String) -> Result<(), Error> {
-    if holds { Ok(()) } else { Err(Error::Sample { step, reason: reason() }) }
+fn ensure(
+    step: &'static str,
+    condition: bool,
+    reason: impl FnOnce() -> String,
+) -> Result<(), Error> {
+    if condition { Ok(()) } else { Err(Error::Sample { step, reason: reason() }) }
 }
--- a/mimosastandin/src/engine.rs
+++ b/mimosastandin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine that holds a range of layers.
+//! Stand-in for a model engine that holds a range of layers.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,32 +18,32 @@
 
 use crate::oracle::{self, Cache};
 
-/// Time that the cache of a request stays without a step.
+/// Time without a step after which the cache of a request is dropped.
 const CACHE_EXPIRY: Duration = Duration::from_secs(120);
 
-/// Time for a request for another engine's cache.
+/// Timeout of a request for another engine's cache.
 const IMPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Cost of one prompt token relative to one decode step.
 const PROMPT_TOKEN_COST: f64 = 0.02;
 
-/// How an engine misbehaves.
+/// Injected fault of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Fault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// Closes every connection without an answer.
+    /// Closes every connection without a response.
     Dead,
-    /// Takes requests on connections open now and never answers them; new
-    /// connections work.
+    /// Never responds to requests on connections that were open when the fault
+    /// was set; new connections work.
     Silent,
-    /// Takes this many times as long.
+    /// Takes this many times as long for each step.
     Slow(u32),
-    /// Refuses new work.
+    /// Refuses new requests and reports that it is leaving.
     Leaving,
-    /// Answers with a wrong version label.
+    /// Responds with a wrong version in the label of a step.
     Lying,
 }
 
@@ -58,37 +58,39 @@
     /// Number of layers of each model.
     models: HashMap<Name, u16>,
     client: Client,
+    /// The fault, and the first connection ID that was unused when it was set.
     fault: Mutex<(Fault, u64)>,
     sequences: Mutex<HashMap<RequestId, Sequence>>,
-    slots: Mutex<u16>,
+    free_slots: Mutex<u16>,
     slot_free: Condvar,
-    connections: AtomicU64,
+    /// Lowest connection ID above all those seen.
+    next_connection: AtomicU64,
     steps: AtomicU64,
 }
 
 struct Sequence {
     attempt: u32,
     cache: Cache,
-    used: Instant,
+    last_used: Instant,
 }
 
 impl Instance {
-    /// Starts an engine of models with the given numbers of layers; port 0
-    /// takes any free port.
+    /// Starts an engine for models with the given numbers of layers; port 0
+    /// binds to any free port.
     pub fn start(
         address: SocketAddr,
         spec: Engine,
         models: HashMap<Name, u16>,
     ) -> io::Result<Self> {
         let state = Arc::new(State {
-            slots: Mutex::new(spec.slots),
+            free_slots: Mutex::new(spec.slots),
             spec,
             models,
             client: Client::new(Default::default()),
             fault: Mutex::default(),
             sequences: Mutex::default(),
             slot_free: Condvar::new(),
-            connections: AtomicU64::new(0),
+            next_connection: AtomicU64::new(0),
             steps: AtomicU64::new(0),
         });
         let settings = Settings { max_requests: 256, ..Settings::default() };
@@ -96,38 +98,38 @@
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Makes it misbehave from now on.
+    /// Injects a fault, which replaces the previous one.
     pub fn set_fault(&self, fault: Fault) {
         self.state.set_fault(fault);
     }
 
-    /// Steps that it has run.
+    /// Number of steps run.
     pub fn steps(&self) -> u64 {
         self.state.steps.load(Ordering::Relaxed)
     }
 
-    /// Forgets every cache, as a restart does.
-    pub fn forget(&self) {
+    /// Drops every cache, as a restart does.
+    pub fn drop_caches(&self) {
         self.state.lock_sequences().clear();
     }
 }
 
 impl State {
     fn set_fault(&self, fault: Fault) {
-        let newest = self.connections.load(Ordering::Acquire);
-        *self.fault.lock().expect("no holder of this lock panics") = (fault, newest);
+        let first_unused = self.next_connection.load(Ordering::Acquire);
+        *self.fault.lock().expect("no holder of this lock panics") = (fault, first_unused);
     }
 
-    fn fault_of(&self, connection: u64) -> Fault {
-        self.connections.fetch_max(connection + 1, Ordering::AcqRel);
-        let (fault, newest) = *self.fault.lock().expect("no holder of this lock panics");
+    fn fault_for(&self, connection: u64) -> Fault {
+        self.next_connection.fetch_max(connection + 1, Ordering::AcqRel);
+        let (fault, first_unused) = *self.fault.lock().expect("no holder of this lock panics");
         match fault {
-            Fault::Silent if connection >= newest => Fault::None,
+            Fault::Silent if connection >= first_unused => Fault::None,
             fault => fault,
         }
     }
@@ -136,17 +138,17 @@
         self.sequences.lock().expect("no holder of this lock panics")
     }
 
-    fn step(&self, request: &Request, fault: Fault) -> Result<(Header, Vec<u8>), Failure> {
+    fn handle_step(&self, request: &Request, fault: Fault) -> Result<(Header, Vec<u8>), Failure> {
         let header = request.header(STEP_HEADER);
         let header = header.ok_or_else(|| Failure::Refused("no step header".into()))?;
         let step = http::decode(header, &request.body)?;
-        self.check(&step)?;
+        self.validate(&step)?;
         if fault == Fault::Leaving && step.label.position == 0 {
             return Err(Failure::Leaving);
         }
-        let _slot = self.take_slot();
-        self.work(&step.label, fault);
-        let output = self.run(&step)?;
+        let _slot = self.acquire_slot();
+        self.simulate_compute(&step.label, fault);
+        let output = self.run_step(&step)?;
         let mut label = step.label;
         if fault == Fault::Lying {
             label.version += 1;
@@ -158,14 +160,14 @@
         Ok((Header { label, content, priority: step.priority, adapter: step.adapter }, body))
     }
 
-    fn check(&self, step: &Step) -> Result<(), Failure> {
+    fn validate(&self, step: &Step) -> Result<(), Failure> {
         let label = &step.label;
-        let held = |h: &ModelLayers| {
+        let holds_layers = |h: &ModelLayers| {
             h.pipeline == label.pipeline
                 && h.version == label.version
                 && h.layers.contains(label.layers)
         };
-        if !self.spec.holds.iter().any(held) {
+        if !self.spec.holds.iter().any(holds_layers) {
             return Err(Failure::Refused(format!("layers {} are not held", label.layers)));
         }
         let count = match &step.input {
@@ -178,8 +180,8 @@
         Ok(())
     }
 
-    /// Spends the time that an accelerator of this kind would.
-    fn work(&self, label: &Label, fault: Fault) {
+    /// Sleeps for the time that an accelerator of this kind would take.
+    fn simulate_compute(&self, label: &Label, fault: Fault) {
         let layers = f64::from(label.layers.count());
         let tokens = 1.0 + f64::from(label.count - 1) * PROMPT_TOKEN_COST;
         let mut micros = f64::from(self.spec.layer_us) * layers * tokens;
@@ -189,17 +191,17 @@
         thread::sleep(Duration::from_micros(micros as u64));
     }
 
-    fn run(&self, step: &Step) -> Result<Output, Failure> {
+    fn run_step(&self, step: &Step) -> Result<Output, Failure> {
         let label = &step.label;
         let mut sequences = self.lock_sequences();
-        sequences.retain(|_, sequence| sequence.used.elapsed() < CACHE_EXPIRY);
+        sequences.retain(|_, sequence| sequence.last_used.elapsed() < CACHE_EXPIRY);
         if label.position == 0 {
             let stale = sequences.get(&label.request).is_some_and(|s| s.attempt >= label.attempt);
             if stale {
                 return Err(Failure::Refused("the attempt is not newer".into()));
             }
             let cache = Cache::new(label.layers, label.version);
-            let sequence = Sequence { attempt: label.attempt, cache, used: Instant::now() };
+            let sequence = Sequence { attempt: label.attempt, cache, last_used: Instant::now() };
             sequences.insert(label.request, sequence);
         }
         let sequence = sequences.get_mut(&label.request).ok_or(Failure::NoCache)?;
@@ -211,30 +213,30 @@
             let reason = format!("position {}, must be {position}", label.position);
             return Err(Failure::Refused(reason));
         }
-        sequence.used = Instant::now();
+        sequence.last_used = Instant::now();
         self.steps.fetch_add(1, Ordering::Relaxed);
-        Ok(advance(&mut sequence.cache, &step.input, self.is_last(label)))
+        Ok(run_layers(&mut sequence.cache, &step.input, self.is_last_stage(label)))
     }
 
-    /// Whether the range ends with the model's last layer.
-    fn is_last(&self, label: &Label) -> bool {
+    /// Whether the layers end with the last layer of the model.
+    fn is_last_stage(&self, label: &Label) -> bool {
         self.models.get(&label.pipeline) == Some(&label.layers.end())
     }
 
-    fn take_slot(&self) -> Slot<'_> {
-        let mut free = self.slots.lock().expect("no holder of this lock panics");
+    fn acquire_slot(&self) -> SlotGuard<'_> {
+        let mut free = self.free_slots.lock().expect("no holder of this lock panics");
         while *free == 0 {
             free = self.slot_free.wait(free).expect("no holder of this lock panics");
         }
         *free -= 1;
-        Slot(self)
+        SlotGuard(self)
     }
 
     fn load(&self, fault: Fault) -> Load {
-        let resident = self.lock_sequences().len() as u32;
-        let running = resident.min(u32::from(self.spec.slots));
+        let cached = self.lock_sequences().len() as u32;
+        let running = cached.min(u32::from(self.spec.slots));
         Load {
-            queued: resident - running,
+            queued: cached - running,
             running,
             kv_free_tokens: 1 << 20,
             leaving: fault == Fault::Leaving,
@@ -242,11 +244,11 @@
         }
     }
 
-    fn export(&self, request: RequestId) -> Option<Cache> {
+    fn export_cache(&self, request: RequestId) -> Option<Cache> {
         self.lock_sequences().get(&request).map(|sequence| sequence.cache.clone())
     }
 
-    fn import(&self, body: &[u8]) -> Result<(), Failure> {
+    fn import_cache(&self, body: &[u8]) -> Result<(), Failure> {
         let import: Import =
             serde_json::from_slice(body).map_err(|e| Failure::Refused(e.to_string()))?;
         let path = format!("/v1/requests/{}/cache", import.source.request);
@@ -259,13 +261,13 @@
             timeout: IMPORT_TIMEOUT,
             fresh: false,
         };
-        let answer = self.client.call(&call).map_err(Failure::from)?;
-        let cache: Cache = serde_json::from_slice(&answer.body).map_err(|_| Failure::NoCache)?;
+        let response = self.client.call(&call).map_err(Failure::from)?;
+        let cache: Cache = serde_json::from_slice(&response.body).map_err(|_| Failure::NoCache)?;
         let source = &import.source;
         if cache.position() != source.position || cache.layers() != source.layers {
             return Err(Failure::NoCache);
         }
-        let sequence = Sequence { attempt: import.attempt, cache, used: Instant::now() };
+        let sequence = Sequence { attempt: import.attempt, cache, last_used: Instant::now() };
         self.lock_sequences().insert(source.request, sequence);
         Ok(())
     }
@@ -282,7 +284,7 @@
 
 impl Handler for State {
     fn handle(&self, request: Request, responder: Responder) {
-        let fault = self.fault_of(request.connection);
+        let fault = self.fault_for(request.connection);
         let path = request.uri.path();
         match (&request.method, path) {
             (&Method::POST, "/v1/fault") => match serde_json::from_slice(&request.body) {
@@ -298,28 +300,29 @@
                     thread::sleep(Duration::from_millis(50));
                 }
             }
-            (&Method::POST, "/v1/steps") => match self.step(&request, fault) {
+            (&Method::POST, "/v1/steps") => match self.handle_step(&request, fault) {
                 Ok((header, body)) => {
-                    let header = serde_json::to_string(&header).expect("only string keys");
+                    let header = serde_json::to_string(&header).expect("all map keys are strings");
                     let name = STEP_HEADER.parse().expect("the header name is valid");
                     responder.send(StatusCode::OK, &[(name, &header)], body);
                 }
                 Err(failure) => refuse(responder, failure),
             },
-            (&Method::POST, "/v1/imports") => match self.import(&request.body) {
+            (&Method::POST, "/v1/imports") => match self.import_cache(&request.body) {
                 Ok(()) => responder.json(StatusCode::OK, b"{}".to_vec()),
                 Err(failure) => refuse(responder, failure),
             },
             (&Method::GET, "/v1/load") => {
-                let load = serde_json::to_vec(&self.load(fault)).expect("only string keys");
+                let load = serde_json::to_vec(&self.load(fault)).expect("all map keys are strings");
                 responder.json(StatusCode::OK, load);
             }
             (&Method::GET, _) if path.ends_with("/cache") => {
                 let id = path.trim_start_matches("/v1/requests/").trim_end_matches("/cache");
-                let export = RequestId::try_from(id.to_owned()).ok().and_then(|r| self.export(r));
-                match export {
-                    Some(export) => {
-                        let body = serde_json::to_vec(&export).expect("only string keys");
+                let cache =
+                    RequestId::try_from(id.to_owned()).ok().and_then(|r| self.export_cache(r));
+                match cache {
+                    Some(cache) => {
+                        let body = serde_json::to_vec(&cache).expect("all map keys are strings");
                         responder.json(StatusCode::OK, body);
                     }
                     None => refuse(responder, Failure::NoCache),
@@ -335,17 +338,17 @@
     }
 }
 
-/// A slot in the running batch, given back when dropped.
-struct Slot<'a>(&'a State);
+/// A slot in the running batch, released when dropped.
+struct SlotGuard<'a>(&'a State);
 
-impl Drop for Slot<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
-        *self.0.slots.lock().expect("no holder of this lock panics") += 1;
+        *self.0.free_slots.lock().expect("no holder of this lock panics") += 1;
         self.0.slot_free.notify_one();
     }
 }
 
-fn advance(cache: &mut Cache, input: &Input, last: bool) -> Output {
+fn run_layers(cache: &mut Cache, input: &Input, is_last_stage: bool) -> Output {
     let inputs: Vec<u64> = match input {
         Input::Tokens(tokens) => {
             let position = cache.position();
@@ -357,7 +360,7 @@
             .collect(),
     };
     let outputs: Vec<u64> = inputs.into_iter().map(|hidden| cache.advance(hidden)).collect();
-    if last {
+    if is_last_stage {
         let hidden = outputs.last().expect("a step has at least one token");
         return Output::Token(oracle::sample(*hidden));
     }
@@ -372,5 +375,5 @@
         _ => (StatusCode::CONFLICT, Code::Refused),
     };
     let refusal = Refusal { code, detail: failure.to_string() };
-    responder.json(status, serde_json::to_vec(&refusal).expect("only string keys"));
+    responder.json(status, serde_json::to_vec(&refusal).expect("all map keys are strings"));
 }
--- a/mimosastandin/src/lib.rs
+++ b/mimosastandin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for the systems around a router: platform, engines, services.
+//! Stand-ins for the systems around a router: platform, engines and services.
 //!
-//! Each speaks the protocol that the router expects and can be told to fail.
-//! They are for tests, demonstrations and measurements, not for production.
+//! Each implements the protocol that the router expects and supports fault
+//! injection. They are for tests, demonstrations and benchmarks, not for
+//! production.
 
 pub mod demo;
 pub mod engine;
--- a/mimosastandin/src/main.rs
+++ b/mimosastandin/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes.
+//! Command line of the stand-ins.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use std::thread;
 
 use mimosashift::resource::{Engine, Layers, Name};
-use mimosastandin::demo::{self, Plan};
+use mimosastandin::demo::{self, Options};
 use mimosastandin::{engine, platform, service};
 use quick_error::quick_error;
 
@@ -14,24 +14,24 @@
     /// Why a stand-in did not start.
     #[derive(Debug)]
     enum Error {
-        /// The address cannot be used.
+        /// Listening on the address failed.
         Listen(address: SocketAddr, error: std::io::Error) {
             display("cannot listen on {}: {}", address, error)
         }
-        /// The local run failed.
+        /// The demo failed.
         Demo(error: demo::Error) {
             from()
             display("{}", error)
         }
-        /// A name or range is not allowed.
+        /// A name or range is invalid.
         Resource(error: mimosashift::resource::Error) {
             from()
             display("{}", error)
         }
-        /// The engine's description is not allowed.
+        /// The specification of the engine is invalid.
         Engine(error: serde_json::Error) {
             from()
-            display("the engine cannot be described: {}", error)
+            display("invalid engine specification: {}", error)
         }
     }
 }
@@ -104,7 +104,7 @@
 fn run(flags: flags::Mimosastandin) -> Result<(), Error> {
     match flags.subcommand {
         flags::MimosastandinCmd::Demo(demo) => {
-            Ok(demo::run(Plan { once: demo.once, fault: demo.fault })?)
+            Ok(demo::run(Options { once: demo.once, fault: demo.fault })?)
         }
         flags::MimosastandinCmd::Platform(platform) => run_platform(&platform),
         flags::MimosastandinCmd::Engine(engine) => run_engine(&engine),
@@ -118,9 +118,9 @@
         writes_per_second: flags.writes.unwrap_or(defaults.writes_per_second),
         reads_per_second: flags.reads.unwrap_or(defaults.reads_per_second),
     };
-    let listen = |error| Error::Listen(flags.listen, error);
-    let _instance = platform::Instance::start(flags.listen, rates).map_err(listen)?;
-    wait()
+    let listen_error = |error| Error::Listen(flags.listen, error);
+    let _instance = platform::Instance::start(flags.listen, rates).map_err(listen_error)?;
+    park_forever()
 }
 
 fn run_engine(flags: &flags::Engine) -> Result<(), Error> {
@@ -133,19 +133,19 @@
         "holds": [{"pipeline": pipeline, "version": flags.version.unwrap_or(1), "layers": layers}],
     }))?;
     let models = HashMap::from([(pipeline, flags.model_layers)]);
-    let listen = |error| Error::Listen(flags.listen, error);
-    let _instance = engine::Instance::start(flags.listen, spec, models).map_err(listen)?;
-    wait()
+    let listen_error = |error| Error::Listen(flags.listen, error);
+    let _instance = engine::Instance::start(flags.listen, spec, models).map_err(listen_error)?;
+    park_forever()
 }
 
 fn run_service(flags: &flags::Service) -> Result<(), Error> {
-    let listen = |error| Error::Listen(flags.listen, error);
-    let _instance = service::Instance::start(flags.listen).map_err(listen)?;
-    wait()
+    let listen_error = |error| Error::Listen(flags.listen, error);
+    let _instance = service::Instance::start(flags.listen).map_err(listen_error)?;
+    park_forever()
 }
 
-/// Serves until the process is ended.
-fn wait() -> Result<(), Error> {
+/// Blocks until the process is terminated.
+fn park_forever() -> Result<(), Error> {
     loop {
         thread::park();
     }
--- a/mimosastandin/src/oracle.rs
+++ b/mimosastandin/src/oracle.rs
@@ -1,18 +1,19 @@
-//! The arithmetic of the stand-in model.
+//! Reference implementation of the stand-in model, used to verify responses.
 //!
 //! Every layer mixes its input with a digest of all its earlier inputs, which
-//! plays the part of the KV cache. A layer that is skipped, run twice, run out
+//! takes the place of the KV cache. A layer that is skipped, run twice, run out
 //! of order or run with another request's cache changes every later token, so
-//! a whole answer can be checked against [`answer`].
+//! a complete response can be checked against [`generate`].
 
 use mimosashift::resource::Layers;
 use serde::{Deserialize, Serialize};
 
-/// Tokens are printable ASCII, so that an answer is readable text.
+/// The vocabulary is the lower-case ASCII letters, so that responses are
+/// readable text.
 const FIRST_TOKEN: u64 = b'a' as u64;
-const TOKENS: u64 = 26;
+const VOCABULARY_SIZE: u64 = 26;
 
-/// KV cache of some layers for one sequence.
+/// KV cache of a range of layers for one sequence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cache {
     layers: Layers,
@@ -27,12 +28,12 @@
         Self { layers, version, position: 0, digests: vec![0; usize::from(layers.count())] }
     }
 
-    /// Number of tokens that it covers.
+    /// Number of tokens in the cache.
     pub const fn position(&self) -> u32 {
         self.position
     }
 
-    /// The layers that it belongs to.
+    /// The layers whose cache it is.
     pub const fn layers(&self) -> Layers {
         self.layers
     }
@@ -55,13 +56,13 @@
     mix(u64::from(token) + 1, u64::from(position))
 }
 
-/// The token that an activation after the last layer stands for.
+/// The token selected by an activation of the last layer.
 pub const fn sample(hidden: u64) -> u32 {
-    (FIRST_TOKEN + hidden % TOKENS) as u32
+    (FIRST_TOKEN + hidden % VOCABULARY_SIZE) as u32
 }
 
-/// The whole answer of the model to a prompt.
-pub fn answer(layers: u16, version: u32, prompt: &[u32], max_tokens: u32) -> Vec<u32> {
+/// The tokens that the model generates for a prompt.
+pub fn generate(layers: u16, version: u32, prompt: &[u32], max_tokens: u32) -> Vec<u32> {
     let all = Layers::try_from((0, layers)).expect("a model has at least one layer");
     let mut cache = Cache::new(all, version);
     let mut hidden = 0;
--- a/mimosastandin/src/platform.rs
+++ b/mimosastandin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: transactional tables and the list of virtual machines.
+//! Stand-in for the platform: transactional tables and the list of VMs.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,32 +14,32 @@
 use serde::{Deserialize, Serialize};
 use ureq::http::{Method, StatusCode};
 
-/// Rows in one page of a scan at most.
+/// Maximum number of rows in one page of a scan.
 const MAX_PAGE_ROWS: usize = 1_000;
 
-/// Rates that the platform serves.
+/// Rate limits of the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
-    /// Rows written a second. Default 400.
+    /// Rows written per second. Default 400.
     pub writes_per_second: f64,
-    /// Calls that read a second. Default 2,000.
+    /// Read calls per second. Default 2,000.
     pub reads_per_second: f64,
 }
 
-/// How the platform misbehaves.
+/// Injected fault of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Fault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// Closes every connection without an answer and does nothing.
+    /// Closes every connection without a response and executes nothing.
     Down,
-    /// Waits this many milliseconds before it answers.
+    /// Waits this many milliseconds before it executes a call.
     Slow(u64),
-    /// Takes effect, but closes the connection instead of answering.
+    /// Executes transactions, but closes the connection instead of responding.
     LoseAnswers,
-    /// Never answers and does nothing.
+    /// Never responds and executes nothing.
     Silent,
 }
 
@@ -58,29 +58,29 @@
     revision: u64,
     vms: VmList,
     fault: Fault,
-    writes: Bucket,
-    reads: Bucket,
+    writes: TokenBucket,
+    reads: TokenBucket,
     counts: Counts,
 }
 
-/// Work that the platform has done.
+/// Number of operations since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Transactions that took effect.
+    /// Committed transactions.
     pub transactions: u64,
     /// Rows written.
     pub rows_written: u64,
-    /// Calls that read.
+    /// Read calls served.
     pub reads: u64,
-    /// Calls refused because of the rates.
+    /// Calls rejected by the rate limits.
     pub over_rate: u64,
 }
 
-/// A token bucket of one second's worth.
-struct Bucket {
+/// Token bucket whose capacity is the rate times one second.
+struct TokenBucket {
     rate: f64,
-    level: f64,
-    filled: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Default for Rates {
@@ -90,7 +90,7 @@
 }
 
 impl Instance {
-    /// Starts an empty platform; port 0 takes any free port.
+    /// Starts an empty platform; port 0 binds to any free port.
     pub fn start(address: SocketAddr, rates: Rates) -> io::Result<Self> {
         let state = Arc::new(State { store: Mutex::new(Store::new(rates)) });
         let server =
@@ -98,22 +98,22 @@
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Makes it misbehave from now on.
+    /// Injects a fault, which replaces the previous one.
     pub fn set_fault(&self, fault: Fault) {
         self.state.lock().fault = fault;
     }
 
-    /// Replaces the list of virtual machines.
+    /// Replaces the list of VMs.
     pub fn set_vms(&self, vms: VmList) {
         self.state.lock().vms = vms;
     }
 
-    /// What it has done so far.
+    /// Number of operations since the start.
     pub fn counts(&self) -> Counts {
         self.state.lock().counts
     }
@@ -130,39 +130,42 @@
             Err(error) => return (StatusCode::BAD_REQUEST, error.to_string().into_bytes()),
         };
         match self.lock().commit(&transaction) {
-            Outcome::Done(revision) => json(StatusCode::OK, &Committed { revision }),
+            Outcome::Done(revision) => json_response(StatusCode::OK, &Committed { revision }),
             Outcome::NotDone(Refusal::Conflict(row)) => {
-                json(StatusCode::CONFLICT, &Conflict { row })
+                json_response(StatusCode::CONFLICT, &Conflict { row })
             }
             _ => (StatusCode::TOO_MANY_REQUESTS, Vec::new()),
         }
     }
 
     fn read(&self, request: &Request) -> (StatusCode, Vec<u8>) {
-        let mut parts = request.uri.path().trim_start_matches("/v1/tables/").splitn(3, '/');
-        let (Some(table), Some("rows")) = (parts.next(), parts.next()) else {
+        let mut segments = request.uri.path().trim_start_matches("/v1/tables/").splitn(3, '/');
+        let (Some(table), Some("rows")) = (segments.next(), segments.next()) else {
             return (StatusCode::BAD_REQUEST, b"no such path".to_vec());
         };
         let mut store = self.lock();
-        if !store.reads.take(1.0) {
+        if !store.reads.try_take(1.0) {
             store.counts.over_rate += 1;
             return (StatusCode::TOO_MANY_REQUESTS, Vec::new());
         }
         store.counts.reads += 1;
-        if let Some(key) = parts.next() {
-            let key = Key { table: table.to_owned(), key: decode(key) };
-            return json(StatusCode::OK, &store.rows.get(&key));
+        if let Some(key) = segments.next() {
+            let key = Key { table: table.to_owned(), key: percent_decode(key) };
+            return json_response(StatusCode::OK, &store.rows.get(&key));
         }
-        let parameter = |name| decode(request.parameter(name).unwrap_or(""));
+        let parameter = |name| percent_decode(request.parameter(name).unwrap_or(""));
         let limit = parameter("limit").parse().unwrap_or(MAX_PAGE_ROWS).min(MAX_PAGE_ROWS);
-        json(StatusCode::OK, &store.scan(table, &parameter("prefix"), &parameter("after"), limit))
+        json_response(
+            StatusCode::OK,
+            &store.scan(table, &parameter("prefix"), &parameter("after"), limit),
+        )
     }
 
-    fn answer(&self, request: &Request) -> (StatusCode, Vec<u8>) {
+    fn execute(&self, request: &Request) -> (StatusCode, Vec<u8>) {
         match (&request.method, request.uri.path()) {
             (&Method::POST, "/v1/transactions") => self.commit(request),
-            (&Method::GET, "/v1/vms") => json(StatusCode::OK, &self.lock().vms),
-            (&Method::GET, "/v1/counts") => json(StatusCode::OK, &self.lock().counts),
+            (&Method::GET, "/v1/vms") => json_response(StatusCode::OK, &self.lock().vms),
+            (&Method::GET, "/v1/counts") => json_response(StatusCode::OK, &self.lock().counts),
             (&Method::GET, path) if path.starts_with("/v1/tables/") => self.read(request),
             _ => (StatusCode::BAD_REQUEST, b"no such path".to_vec()),
         }
@@ -194,7 +197,7 @@
             Fault::Slow(millis) => thread::sleep(Duration::from_millis(millis)),
             Fault::None | Fault::LoseAnswers => {}
         }
-        let (status, body) = self.answer(&request);
+        let (status, body) = self.execute(&request);
         if fault == Fault::LoseAnswers && request.method == Method::POST {
             return responder.abort();
         }
@@ -202,7 +205,8 @@
     }
 }
 
-/// Direct use without sockets, with the same rates.
+/// Direct access without sockets. Commits are rate limited as over HTTP; reads
+/// and scans are not.
 impl Table for Instance {
     fn commit(&self, transaction: &Transaction) -> Outcome<u64> {
         self.state.lock().commit(transaction)
@@ -224,24 +228,24 @@
             revision: 0,
             vms: VmList::default(),
             fault: Fault::None,
-            writes: Bucket::new(rates.writes_per_second),
-            reads: Bucket::new(rates.reads_per_second),
+            writes: TokenBucket::new(rates.writes_per_second),
+            reads: TokenBucket::new(rates.reads_per_second),
             counts: Counts::default(),
         }
     }
 
     fn commit(&mut self, transaction: &Transaction) -> Outcome<u64> {
-        if !self.writes.take(transaction.writes.len() as f64) {
+        if !self.writes.try_take(transaction.writes.len() as f64) {
             self.counts.over_rate += 1;
             return Outcome::NotDone(Refusal::OverBudget);
         }
         for check in &transaction.checks {
-            let (key, wanted) = match check {
+            let (key, expected) = match check {
                 Check::Absent(key) => (key, None),
                 Check::Revision(key, revision) => (key, Some(*revision)),
             };
             let found = self.rows.get(key);
-            if found.map(|row| row.revision) != wanted {
+            if found.map(|row| row.revision) != expected {
                 return Outcome::NotDone(Refusal::Conflict(found.cloned()));
             }
         }
@@ -264,13 +268,13 @@
 
     fn scan(&self, table: &str, prefix: &str, after: &str, limit: usize) -> Page {
         let start = Key { table: table.to_owned(), key: after.max(prefix).to_owned() };
-        let within = |row: &&Row| row.key.table == table && row.key.key.starts_with(prefix);
+        let has_prefix = |row: &&Row| row.key.table == table && row.key.key.starts_with(prefix);
         let mut rows: Vec<Row> = self
             .rows
             .range(start..)
             .map(|(_, row)| row)
             .skip_while(|row| row.key.table == table && row.key.key.as_str() <= after)
-            .take_while(within)
+            .take_while(has_prefix)
             .take(limit + 1)
             .cloned()
             .collect();
@@ -280,27 +284,27 @@
     }
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate: f64) -> Self {
-        Self { rate, level: rate, filled: Instant::now() }
+        Self { rate, tokens: rate, refilled_at: Instant::now() }
     }
 
-    fn take(&mut self, amount: f64) -> bool {
-        let elapsed = self.filled.elapsed().as_secs_f64();
-        self.filled = Instant::now();
-        self.level = (self.level + elapsed * self.rate).min(self.rate);
-        if self.level < amount {
+    fn try_take(&mut self, amount: f64) -> bool {
+        let elapsed = self.refilled_at.elapsed().as_secs_f64();
+        self.refilled_at = Instant::now();
+        self.tokens = (self.tokens + elapsed * self.rate).min(self.rate);
+        if self.tokens < amount {
             return false;
         }
-        self.level -= amount;
+        self.tokens -= amount;
         true
     }
 }
 
-fn json(status: StatusCode, value: &impl Serialize) -> (StatusCode, Vec<u8>) {
-    (status, serde_json::to_vec(value).expect("the answer has only string keys"))
+fn json_response(status: StatusCode, value: &impl Serialize) -> (StatusCode, Vec<u8>) {
+    (status, serde_json::to_vec(value).expect("all map keys are strings"))
 }
 
-fn decode(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     percent_decode_str(text).decode_utf8_lossy().into_owned()
 }
--- a/mimosastandin/src/service.rs
+++ b/mimosastandin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each posting ran.
+//! Stand-in for a service that counts how often each posting ran.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,23 +11,23 @@
 use serde::{Deserialize, Serialize};
 use ureq::http::{Method, StatusCode};
 
-/// How the service misbehaves.
+/// Injected fault of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Fault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// Runs the call, but closes the connection instead of answering.
+    /// Runs the posting, but closes the connection instead of responding.
     LoseAnswers,
-    /// Closes the connection and runs nothing.
+    /// Closes every connection and runs nothing.
     Dead,
-    /// Waits this many milliseconds before it runs a call.
+    /// Waits this many milliseconds before it handles a request.
     Slow(u64),
 }
 
-/// A running service. A POST runs its body as a posting; GET lists how often
-/// each body ran.
+/// A running service. A POST runs its body as a posting; a GET returns the
+/// number of runs of each body.
 pub struct Instance {
     server: Server,
     state: Arc<State>,
@@ -39,15 +39,15 @@
     runs: Mutex<BTreeMap<String, u64>>,
 }
 
-/// Answer to a posting.
+/// Response to a posting.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Receipt {
-    /// How often this body has run, this time included.
+pub struct PostingResponse {
+    /// Number of times that this body has run, including this one.
     pub runs: u64,
 }
 
 impl Instance {
-    /// Starts a service; port 0 takes any free port.
+    /// Starts a service; port 0 binds to any free port.
     pub fn start(address: SocketAddr) -> io::Result<Self> {
         let state = Arc::new(State::default());
         let server =
@@ -55,17 +55,17 @@
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Makes it misbehave from now on.
+    /// Injects a fault, which replaces the previous one.
     pub fn set_fault(&self, fault: Fault) {
         *self.state.fault.lock().expect("no holder of this lock panics") = fault;
     }
 
-    /// How often each body ran.
+    /// Number of runs of each body.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         self.state.runs().clone()
     }
@@ -76,12 +76,12 @@
         self.runs.lock().expect("no holder of this lock panics")
     }
 
-    fn run(&self, request: &Request) -> Receipt {
+    fn run_posting(&self, request: &Request) -> PostingResponse {
         let body = String::from_utf8_lossy(&request.body).into_owned();
         let mut runs = self.runs();
         let count = runs.entry(body).or_default();
         *count += 1;
-        Receipt { runs: *count }
+        PostingResponse { runs: *count }
     }
 }
 
@@ -105,14 +105,14 @@
             Fault::None | Fault::LoseAnswers => {}
         }
         if request.method == Method::GET {
-            let runs = serde_json::to_vec(&*self.runs()).expect("only string keys");
+            let runs = serde_json::to_vec(&*self.runs()).expect("all map keys are strings");
             return responder.json(StatusCode::OK, runs);
         }
-        let receipt = self.run(&request);
+        let response = self.run_posting(&request);
         if fault == Fault::LoseAnswers {
             return responder.abort();
         }
-        let body = serde_json::to_vec(&receipt).expect("only string keys");
+        let body = serde_json::to_vec(&response).expect("all map keys are strings");
         responder.json(StatusCode::CREATED, body);
     }
 }
--- a/mimosastandin/src/testbed.rs
+++ b/mimosastandin/src/testbed.rs
@@ -1,4 +1,4 @@
-//! A whole system in one process: platform, endpoints and routers.
+//! A complete system in one process: platform, endpoints and routers.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,25 +17,25 @@
 
 use crate::{engine, platform, service};
 
-/// Loopback with any free port.
+/// Loopback address with port 0, which binds to any free port.
 pub const LOOPBACK: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Name of the model that the testbed serves.
+/// Name of the model served by the testbed.
 pub const MODEL: &str = "advisor";
 
-/// Its number of layers.
+/// Number of layers of the model.
 pub const LAYERS: u16 = 24;
 
-/// Token of the operators.
+/// Bearer token of the operators.
 pub const OPERATOR_TOKEN: &str = "aksu-operator-token";
 
-/// Token of a calling team.
+/// Bearer token of a calling team.
 pub const CALLER_TOKEN: &str = "aksu-advisors-token";
 
-/// Time for one call to the platform.
+/// Timeout of one call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Key that authenticates the routers of a testbed to one another.
+/// Shared key with which the routers of a testbed authenticate to one another.
 const PEER_KEY: [u8; settings::KEY_BYTES] = [7; settings::KEY_BYTES];
 
 quick_error! {
@@ -53,45 +53,46 @@
             from()
             display("cannot start a router: {}", error)
         }
-        /// A name is not allowed.
+        /// A name is invalid.
         Resource(error: resource::Error) {
             from()
             display("{}", error)
         }
-        /// An engine's description is not allowed.
+        /// The specification of an engine is invalid.
         Engine(error: serde_json::Error) {
             from()
-            display("the engine cannot be described: {}", error)
+            display("invalid engine specification: {}", error)
         }
     }
 }
 
-/// One engine of a testbed.
-pub struct Placed {
-    /// Its name as an endpoint.
+/// One engine of a testbed and its endpoint.
+pub struct EngineEndpoint {
+    /// Name of the endpoint.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub domain: &'static str,
-    /// Its specification as a resource.
+    /// Specification of the endpoint resource.
     pub spec: Value,
     /// The running engine.
     pub instance: engine::Instance,
 }
 
-/// Everything that runs.
+/// The running stand-ins and routers.
 pub struct Testbed {
     /// The platform.
     pub platform: platform::Instance,
-    /// The engines: two domains, two kinds of accelerator, three stages.
-    pub engines: Vec<Placed>,
+    /// The engines: one for each of two failure domains, three stages and two
+    /// kinds of accelerator.
+    pub engines: Vec<EngineEndpoint>,
     /// The service `operations`.
     pub service: service::Instance,
-    /// Four routers, two in each domain.
+    /// Four routers, two in each failure domain.
     pub routers: Vec<Running>,
 }
 
 impl Testbed {
-    /// Starts a testbed on loopback.
+    /// Starts a testbed on the loopback interface.
     pub fn start(log: &Logger) -> Result<Self, Error> {
         let platform = platform::Instance::start(LOOPBACK, platform::Rates::default())?;
         let service = service::Instance::start(LOOPBACK)?;
@@ -99,22 +100,22 @@
         for domain in ["almaty-a", "almaty-b"] {
             for (stage, layers) in [[0, 8], [8, 16], [16, 24]].into_iter().enumerate() {
                 for (kind, layer_us) in [("large", 20), ("small", 40)] {
-                    engines.push(place(domain, stage, layers, kind, layer_us)?);
+                    engines.push(start_engine(domain, stage, layers, kind, layer_us)?);
                 }
             }
         }
         let peers = (0..4).map(|_| free_address()).collect::<io::Result<Vec<_>>>()?;
         let mut routers = Vec::new();
         for index in 0..peers.len() {
-            let settings = router(index, &peers, platform.address())?;
+            let settings = router_settings(index, &peers, platform.address())?;
             let log = log.new(slog::o!("router" => index + 1));
             routers.push(Running::start(settings, log)?);
         }
         Ok(Self { platform, engines, service, routers })
     }
 
-    /// The resources that make the testbed serve, in the order in which they
-    /// are applied: kind, name, specification.
+    /// The resources that configure the testbed as kind, name and
+    /// specification, in the order in which they must be applied.
     pub fn resources(&self) -> Vec<(&'static str, String, Value)> {
         let digest = |token: &str| hex::encode(Sha256::digest(token));
         let mut resources = vec![
@@ -139,8 +140,8 @@
                     "role": {"service": "operations"}}),
             ),
         ];
-        for placed in &self.engines {
-            resources.push(("endpoint", placed.name.clone(), placed.spec.clone()));
+        for engine in &self.engines {
+            resources.push(("endpoint", engine.name.clone(), engine.spec.clone()));
         }
         resources.push(("route", MODEL.into(), json!({"model": MODEL, "pipeline": MODEL})));
         resources
@@ -149,7 +150,8 @@
 
 /// A loopback address whose port is free for UDP and TCP.
 ///
-/// Another program may take it before it is used; the next try finds another.
+/// The port is not reserved: another process may bind to it first, and a further
+/// call then returns a different one.
 pub fn free_address() -> io::Result<SocketAddr> {
     loop {
         let address = TcpListener::bind(LOOPBACK)?.local_addr()?;
@@ -160,14 +162,14 @@
 }
 
 /// The settings of router `index` of a testbed.
-fn router(
+fn router_settings(
     index: usize,
     peers: &[SocketAddr],
     platform: SocketAddr,
 ) -> Result<node::Settings, Error> {
     let client = Arc::new(Client::new(http::client::Settings::default()));
     let platform = Arc::new(protocol::http::Adapter::new(client, platform, PLATFORM_TIMEOUT));
-    let others = peers.iter().enumerate().filter(|(i, _)| *i != index).map(|(_, peer)| *peer);
+    let other_peers = peers.iter().enumerate().filter(|(i, _)| *i != index).map(|(_, peer)| *peer);
     Ok(node::Settings {
         node: settings::Node {
             name: Name::try_from(format!("router-{}", index + 1))?,
@@ -182,7 +184,7 @@
         bootstrap_digest: Some(settings::Digest(Sha256::digest(OPERATOR_TOKEN).into())),
         peer: settings::Peer {
             address: peers[index],
-            peers: others.collect(),
+            peers: other_peers.collect(),
             keys: vec![settings::Key { id: 1, secret: PEER_KEY }],
             cross_domain_latency: Duration::from_micros(500),
         },
@@ -191,21 +193,22 @@
     })
 }
 
-fn place(
+fn start_engine(
     domain: &'static str,
     stage: usize,
     layers: [u16; 2],
     kind: &str,
     layer_us: u32,
-) -> Result<Placed, Error> {
-    let engine = json!({
+) -> Result<EngineEndpoint, Error> {
+    let engine_spec = json!({
         "accelerator": kind, "layer_us": layer_us, "slots": 16, "link_us": 50,
         "holds": [{"pipeline": MODEL, "version": 1, "layers": layers}],
     });
-    let checked: Engine = serde_json::from_value(engine.clone())?;
+    let parsed_spec: Engine = serde_json::from_value(engine_spec.clone())?;
     let models = HashMap::from([(Name::try_from(MODEL)?, LAYERS)]);
-    let instance = engine::Instance::start(LOOPBACK, checked, models)?;
-    let spec = json!({"address": instance.address(), "domain": domain, "role": {"engine": engine}});
+    let instance = engine::Instance::start(LOOPBACK, parsed_spec, models)?;
+    let spec =
+        json!({"address": instance.address(), "domain": domain, "role": {"engine": engine_spec}});
     let name = format!("{domain}-stage-{stage}-{kind}");
-    Ok(Placed { name, domain, spec, instance })
+    Ok(EngineEndpoint { name, domain, spec, instance })
 }
