--- a/mimosabench/src/load.rs
+++ b/mimosabench/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load generator over real sockets that verifies every response.
+//! Open-loop load generator over real sockets that checks every response.
 //!
 //! Request times are independent of earlier responses. Latency is measured from
 //! the time at which a request was due, so that the latencies of the requests
