--- a/mimosastandin/src/engine.rs
+++ b/mimosastandin/src/engine.rs
@@ -62,7 +62,7 @@
     fault: Mutex<(Fault, u64)>,
     sequences: Mutex<HashMap<RequestId, Sequence>>,
     free_slots: Mutex<u16>,
-    slot_free: Condvar,
+    slot_released: Condvar,
     /// Lowest connection ID above all those seen.
     next_connection: AtomicU64,
     steps: AtomicU64,
@@ -89,7 +89,7 @@
             client: Client::new(Default::default()),
             fault: Mutex::default(),
             sequences: Mutex::default(),
-            slot_free: Condvar::new(),
+            slot_released: Condvar::new(),
             next_connection: AtomicU64::new(0),
             steps: AtomicU64::new(0),
         });
@@ -226,7 +226,7 @@
     fn acquire_slot(&self) -> SlotGuard<'_> {
         let mut free = self.free_slots.lock().expect("no holder of this lock panics");
         while *free == 0 {
-            free = self.slot_free.wait(free).expect("no holder of this lock panics");
+            free = self.slot_released.wait(free).expect("no holder of this lock panics");
         }
         *free -= 1;
         SlotGuard(self)
@@ -344,7 +344,7 @@
 impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         *self.0.free_slots.lock().expect("no holder of this lock panics") += 1;
-        self.0.slot_free.notify_one();
+        self.0.slot_released.notify_one();
     }
 }
 
