--- a/mimosabench/src/main.rs
+++ b/mimosabench/src/main.rs
@@ -1,11 +1,11 @@
-//! The load tool and policy benchmarks.
+//! Command line of the load generator and the benchmarks.
 
 use std::process::ExitCode;
 use std::time::Duration;
 
-use mimosabench::added;
+use mimosabench::added_latency;
 use mimosabench::clients;
-use mimosabench::load::{self, Plan, Work};
+use mimosabench::load::{self, LoadConfig, Workload};
 use mimosabench::policy::{self, measure};
 use mimosabench::report::{Outcome, Report};
 use mimosabench::slopes;
@@ -90,15 +90,15 @@
 }
 
 fn run_added(flags: &flags::Added) -> ExitCode {
-    exit(added::run(flags.requests.unwrap_or(200)))
+    exit_code(added_latency::run(flags.requests.unwrap_or(200)))
 }
 
 fn run_clients() -> ExitCode {
-    exit(clients::run())
+    exit_code(clients::run())
 }
 
-fn exit(ended: Result<(), impl std::fmt::Display>) -> ExitCode {
-    match ended {
+fn exit_code(result: Result<(), impl std::fmt::Display>) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("mimosabench: {error}");
@@ -109,11 +109,11 @@
 
 fn run_load(flags: &flags::Load) -> ExitCode {
     let seed = flags.seed.unwrap_or(1);
-    let work = match &flags.service {
+    let workload = match &flags.service {
         Some(service) => {
-            Work::Posting { service: service.clone(), label: format!("posting-{seed}") }
+            Workload::Posting { service: service.clone(), label: format!("posting-{seed}") }
         }
-        None => Work::Completion {
+        None => Workload::Completion {
             model: flags.model.clone().unwrap_or_else(|| "advisor".to_owned()),
             layers: flags.layers.unwrap_or(24),
             version: 1,
@@ -125,17 +125,17 @@
         eprintln!("mimosabench: load needs at least one --target");
         return ExitCode::from(2);
     }
-    let report = load::run(&Plan {
+    let report = load::run(&LoadConfig {
         targets: flags.target.clone(),
         token: flags.token.clone(),
         rate: flags.rate.unwrap_or(50.0),
         duration: Duration::from_secs_f64(flags.seconds.unwrap_or(10.0)),
         connections: flags.connections.unwrap_or(128),
-        work,
+        workload,
         seed,
     });
     print_report(&report, flags.json);
-    if report.of(Outcome::Wrong) == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if report.count(Outcome::Wrong) == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn print_report(report: &Report, json: bool) {
@@ -162,14 +162,14 @@
     match policy::draw(folder, &throughputs, &recoveries) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("mimosabench: cannot draw into {}: {error}", folder.display());
+            eprintln!("mimosabench: cannot write plots to {}: {error}", folder.display());
             ExitCode::FAILURE
         }
     }
 }
 
 fn run_slopes(flags: &flags::Slopes) -> ExitCode {
-    exit(slopes::measure(flags.role.as_deref()).and_then(|all| {
+    exit_code(slopes::measure(flags.role.as_deref()).and_then(|all| {
         print!("{}", slopes::to_text(&all));
         flags.write.iter().try_for_each(|path| slopes::page::write(path, &all))
     }))
