--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -131,7 +131,7 @@
 
 impl Session {
     fn new(ctx: RequestContext, engine: Arc<Engine>) -> Self {
-        let usual = engine.usual;
+        let usual = engine.typical_request;
         let demand = match ctx.tokens {
             None => Demand { prompt: usual.prompt, output: usual.output },
             Some(tokens) => {
--- a/mimosashift/src/deployment/engine.rs
+++ b/mimosashift/src/deployment/engine.rs
@@ -37,7 +37,7 @@
     /// One-way delays between zones.
     pub delays: Vec<Delay>,
     /// Means of requests.
-    pub usual: Usual,
+    pub typical_request: TypicalRequest,
     /// Time to load the whole model.
     pub load: Duration,
     /// Loads at once that do not slow one another.
@@ -70,7 +70,7 @@
 
 /// Means of the requests of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Usual {
+pub struct TypicalRequest {
     /// Prompt tokens.
     pub prompt: f64,
     /// Output tokens.
--- a/mimosashift/src/deployment/mod.rs
+++ b/mimosashift/src/deployment/mod.rs
@@ -13,7 +13,7 @@
 mod engine;
 mod node;
 
-pub use engine::{Card, Delay, Engine, Usual};
+pub use engine::{Card, Delay, Engine, TypicalRequest};
 pub use node::{Bounds, Node, Store};
 
 use crate::resource::Layers;
--- a/mimosashift/tests/common/deployment.rs
+++ b/mimosashift/tests/common/deployment.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use mimosashift::deployment::{Card, Delay, Endpoint, Engine, Standing, Usual};
+use mimosashift::deployment::{Card, Delay, Endpoint, Engine, Standing, TypicalRequest};
 use mimosashift::resource::Layers;
 use mimosashift::time::Instant;
 
@@ -43,7 +43,7 @@
         stride: 4,
         pipe_per_ms: 2_000_000.0,
         delays: vec![delay("a", "b"), delay("a", "c"), delay("b", "c")],
-        usual: Usual { prompt: 775.0, output: 220.0 },
+        typical_request: TypicalRequest { prompt: 775.0, output: 220.0 },
         load: Duration::from_secs(14),
         loads_at_once: 6,
         cards,
