--- a/mimosashift/src/deployment/mod.rs
+++ b/mimosashift/src/deployment/mod.rs
@@ -109,7 +109,7 @@
 
 /// Whether an endpoint takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointStatus {
     /// It does.
     Ready,
     /// It is leaving.
@@ -128,7 +128,7 @@
     /// Its failure domain.
     pub zone: Arc<str>,
     /// Whether it takes new work.
-    pub standing: Standing,
+    pub status: EndpointStatus,
     /// Requests that it runs at once.
     pub slots: u32,
     /// Distinguishes its starts: the time of the start, Unix milliseconds.
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-use crate::deployment::{Endpoint, Standing};
+use crate::deployment::{Endpoint, EndpointStatus};
 use crate::exchange::Report;
 use crate::resource::Layers;
 use crate::time::Instant;
@@ -211,7 +211,7 @@
 
     /// Whether the directory lists it as ready for new work.
     pub fn takes_work(&self) -> bool {
-        self.endpoint.standing == Standing::Ready && self.missing_since.is_none()
+        self.endpoint.status == EndpointStatus::Ready && self.missing_since.is_none()
     }
 
     /// Whether it takes new work and is not marked dead.
@@ -312,7 +312,9 @@
             }
             return;
         }
-        if entry.standing == Standing::Draining && member.endpoint.standing == Standing::Ready {
+        if entry.status == EndpointStatus::Draining
+            && member.endpoint.status == EndpointStatus::Ready
+        {
             change.leaving.push(id.clone());
         }
         member.missing_since = None;
@@ -333,8 +335,8 @@
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for member in self.members.values() {
-            let Endpoint { id, incarnation, standing, .. } = &member.endpoint;
-            (id, incarnation, *standing == Standing::Ready).hash(&mut hasher);
+            let Endpoint { id, incarnation, status, .. } = &member.endpoint;
+            (id, incarnation, *status == EndpointStatus::Ready).hash(&mut hasher);
         }
         hasher.finish()
     }
--- a/mimosashift/tests/common/deployment.rs
+++ b/mimosashift/tests/common/deployment.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use mimosashift::deployment::{Card, Delay, Endpoint, Engine, Standing, TypicalRequest};
+use mimosashift::deployment::{Card, Delay, Endpoint, EndpointStatus, Engine, TypicalRequest};
 use mimosashift::resource::Layers;
 use mimosashift::time::Instant;
 
@@ -57,7 +57,7 @@
         service: MODEL.into(),
         address: SocketAddr::from(([10, 0, 0, 1], 1_000 + number)),
         zone: zone.into(),
-        standing: Standing::Ready,
+        status: EndpointStatus::Ready,
         slots: 192,
         incarnation: 1,
         heartbeat: 1,
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use mimosashift::deployment::{Endpoint, Engine, Standing};
+use mimosashift::deployment::{Endpoint, EndpointStatus, Engine};
 use mimosashift::exchange::Report;
 use mimosashift::fleet::{Chain, Demand, Fleet, Observation, Query, Shortage, Usage, endpoint_key};
 use mimosashift::time::Instant;
@@ -186,7 +186,7 @@
 #[test]
 fn draining_endpoints_get_no_work() {
     let mut entries = two_zones();
-    entries[0].standing = Standing::Draining;
+    entries[0].status = EndpointStatus::Draining;
     let fleet = fleet(entries);
     assert_eq!(ids(&choose(&fleet, &DEMAND).unwrap())[0], "e3");
 }
