--- a/mimosafront/src/relay/model/forward.rs
+++ b/mimosafront/src/relay/model/forward.rs
@@ -4,7 +4,7 @@
 
 use hyper::StatusCode;
 use hyper::body::Bytes;
-use mimosashift::deployment::Kind;
+use mimosashift::deployment::RouteKind;
 use mimosashift::emit;
 use mimosashift::event::Event;
 use mimosashift::link::Exchange;
@@ -120,7 +120,7 @@
     }
 
     fn is_resumable(&self) -> bool {
-        self.ctx.route.kind == Kind::Stream { resumable: true }
+        self.ctx.route.kind == RouteKind::Stream { resumable: true }
     }
 
     async fn resume(&mut self, reason: &str) -> Result<Exchange, RequestError> {
--- a/mimosashift/src/deployment/mod.rs
+++ b/mimosashift/src/deployment/mod.rs
@@ -43,7 +43,7 @@
     /// Path prefix that it serves; begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time that a request may be kept waiting.
     pub timeout: Duration,
     /// Latency objective: to the answer, or to a stream's first event.
@@ -60,7 +60,7 @@
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run any number of times.
     Safe,
     /// May run at most once.
@@ -137,7 +137,7 @@
     pub heartbeat: u64,
     /// Layers that it holds.
     pub layers: Option<Layers>,
-    /// Kind of its accelerator.
+    /// RouteKind of its accelerator.
     pub card: Option<Arc<str>>,
 }
 
@@ -242,6 +242,6 @@
 
     /// Whether a request may run more than once.
     pub const fn is_idempotent(&self) -> bool {
-        matches!(self.kind, Kind::Safe | Kind::Stream { resumable: true })
+        matches!(self.kind, RouteKind::Safe | RouteKind::Stream { resumable: true })
     }
 }
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mimosashift::admit::pressure::{MAX_WAIT, MemoryPressure};
-use mimosashift::deployment::{Denied, Deployment, Kind, Limits, Route, Service, Team};
+use mimosashift::deployment::{Denied, Deployment, Limits, Route, RouteKind, Service, Team};
 use mimosashift::freshness::{Freshness, PeerConfirmation};
 use mimosashift::peer::{Config, Digest, Event, Peers};
 use mimosashift::pipeline::retry::{Window, WindowLimits};
@@ -25,7 +25,7 @@
         name: prefix.into(),
         host: "example".into(),
         prefix: prefix.into(),
-        kind: Kind::Safe,
+        kind: RouteKind::Safe,
         timeout: S,
         objective: S,
         attempts: 2,
