--- a/mimosafront/src/relay/model/forward.rs
+++ b/mimosafront/src/relay/model/forward.rs
@@ -232,7 +232,8 @@
         let now = clock::now();
         let state = self.ctx.state.clone();
         let mut fleet = state.fleet.borrow_mut();
-        let generated = (self.events_forwarded + complete.count) as f32 * self.engine.stride as f32;
+        let generated =
+            (self.events_forwarded + complete.count) as f32 * self.engine.tokens_per_event as f32;
         let pause = (self.events_forwarded > 0).then(|| now.since(self.timing.last_event_at));
         if let Some(claim) = &mut self.claim {
             fleet.record_progress(&claim.chain, pause, now);
@@ -251,7 +252,7 @@
         }
         self.timing.last_event_at = now;
         self.events_forwarded += complete.count;
-        state.meter.tokens(complete.count as u64 * u64::from(self.engine.stride));
+        state.meter.tokens(complete.count as u64 * u64::from(self.engine.tokens_per_event));
         Ok(Some(complete.bytes.into()))
     }
 }
--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -452,8 +452,8 @@
 
     /// The demand of the rest of the request.
     fn remaining_demand(&self) -> Demand {
-        let generated = self.events_forwarded as f64 * f64::from(self.engine.stride);
-        let output = (self.demand.output - generated).max(f64::from(self.engine.stride));
+        let generated = self.events_forwarded as f64 * f64::from(self.engine.tokens_per_event);
+        let output = (self.demand.output - generated).max(f64::from(self.engine.tokens_per_event));
         Demand { prompt: self.demand.prompt + generated, output }
     }
 
--- a/mimosashift/src/deployment/engine.rs
+++ b/mimosashift/src/deployment/engine.rs
@@ -31,7 +31,7 @@
     /// Prompt tokens read a millisecond over all layers at read factor 1.
     pub read_per_ms: f64,
     /// Steps, and so tokens, in one event of a stream.
-    pub stride: u32,
+    pub tokens_per_event: u32,
     /// Rate of the pipe between two zones, in bytes a millisecond.
     pub pipe_per_ms: f64,
     /// One-way delays between zones.
--- a/mimosashift/src/fleet/chain.rs
+++ b/mimosashift/src/fleet/chain.rs
@@ -172,8 +172,9 @@
         let read_ms = card.read_factor / engine.read_per_ms * member.pace;
         let step_ms = engine.step_ms * card.pace * member.pace;
         let work_ms = demand.prompt * read_ms + demand.output * step_ms;
-        let pass_ms = f64::from(engine.stride) * step_ms * f64::from(layers.count()) / layer_count;
-        let passes = demand.output / f64::from(engine.stride);
+        let pass_ms =
+            f64::from(engine.tokens_per_event) * step_ms * f64::from(layers.count()) / layer_count;
+        let passes = demand.output / f64::from(engine.tokens_per_event);
         Some(Self {
             member,
             layers,
--- a/mimosashift/tests/common/deployment.rs
+++ b/mimosashift/tests/common/deployment.rs
@@ -40,7 +40,7 @@
         sequence_ms: 0.004_59,
         context_ms: 0.006_15,
         read_per_ms: 164.0,
-        stride: 4,
+        tokens_per_event: 4,
         pipe_per_ms: 2_000_000.0,
         delays: vec![delay("a", "b"), delay("a", "c"), delay("b", "c")],
         typical_request: TypicalRequest { prompt: 775.0, output: 220.0 },
