--- a/mimosashift/src/deployment/engine.rs
+++ b/mimosashift/src/deployment/engine.rs
@@ -29,7 +29,7 @@
     /// Time that 1,000 tokens of context of a writing request add, in ms.
     pub context_ms: f64,
     /// Prompt tokens read a millisecond over all layers at read factor 1.
-    pub read_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Steps, and so tokens, in one event of a stream.
     pub tokens_per_event: u32,
     /// Rate of the pipe between two zones, in bytes a millisecond.
@@ -54,7 +54,7 @@
     /// Factor on the time of token steps.
     pub pace: f64,
     /// Factor on the time of reading.
-    pub read_factor: f64,
+    pub prefill_factor: f64,
 }
 
 /// Delay between two zones, the same both ways.
--- a/mimosashift/src/fleet/chain.rs
+++ b/mimosashift/src/fleet/chain.rs
@@ -169,7 +169,7 @@
         let is_cache_full = now < member.cache_full_until;
         let usable = if is_cache_full { 0.0 } else { capacity * USABLE_CACHE_SHARE };
         let free = (usable - f64::from(usage.cache)).max(0.0);
-        let read_ms = card.read_factor / engine.read_per_ms * member.pace;
+        let read_ms = card.prefill_factor / engine.prefill_tokens_per_ms * member.pace;
         let step_ms = engine.step_ms * card.pace * member.pace;
         let work_ms = demand.prompt * read_ms + demand.output * step_ms;
         let pass_ms =
--- a/mimosashift/tests/common/deployment.rs
+++ b/mimosashift/tests/common/deployment.rs
@@ -23,7 +23,7 @@
 
 /// An engine of 80 layers on three kinds of cards, as users have them.
 pub fn engine() -> Engine {
-    let card = |memory_mb, pace, read_factor| Card { memory_mb, pace, read_factor };
+    let card = |memory_mb, pace, prefill_factor| Card { memory_mb, pace, prefill_factor };
     let cards = BTreeMap::from([
         ("large".into(), card(72_000.0, 2.4, 3.2)),
         ("small".into(), card(14_400.0, 5.3, 7.9)),
@@ -39,7 +39,7 @@
         step_ms: 1.02,
         sequence_ms: 0.004_59,
         context_ms: 0.006_15,
-        read_per_ms: 164.0,
+        prefill_tokens_per_ms: 164.0,
         tokens_per_event: 4,
         pipe_per_ms: 2_000_000.0,
         delays: vec![delay("a", "b"), delay("a", "c"), delay("b", "c")],
