--- a/mimosashift/src/deployment/engine.rs
+++ b/mimosashift/src/deployment/engine.rs
@@ -52,7 +52,7 @@
     /// Memory for weights and KV cache, in megabytes.
     pub memory_mb: f64,
     /// Factor on the time of token steps.
-    pub pace: f64,
+    pub decode_factor: f64,
     /// Factor on the time of reading.
     pub prefill_factor: f64,
 }
--- a/mimosashift/src/fleet/chain.rs
+++ b/mimosashift/src/fleet/chain.rs
@@ -170,7 +170,7 @@
         let usable = if is_cache_full { 0.0 } else { capacity * USABLE_CACHE_SHARE };
         let free = (usable - f64::from(usage.cache)).max(0.0);
         let read_ms = card.prefill_factor / engine.prefill_tokens_per_ms * member.pace;
-        let step_ms = engine.step_ms * card.pace * member.pace;
+        let step_ms = engine.step_ms * card.decode_factor * member.pace;
         let work_ms = demand.prompt * read_ms + demand.output * step_ms;
         let pass_ms =
             f64::from(engine.tokens_per_event) * step_ms * f64::from(layers.count()) / layer_count;
--- a/mimosashift/src/layout/mod.rs
+++ b/mimosashift/src/layout/mod.rs
@@ -129,7 +129,9 @@
 impl<'a> Pool<'a> {
     fn new(engine: &'a Engine, mut endpoints: Vec<EndpointState>) -> Self {
         // Fastest endpoints first, so that they get the first copy.
-        endpoints.sort_by(|a, b| a.card.pace.total_cmp(&b.card.pace).then_with(|| a.id.cmp(&b.id)));
+        endpoints.sort_by(|a, b| {
+            a.card.decode_factor.total_cmp(&b.card.decode_factor).then_with(|| a.id.cmp(&b.id))
+        });
         let layers = usize::from(engine.layers);
         let mut pool = Self {
             engine,
--- a/mimosashift/tests/common/deployment.rs
+++ b/mimosashift/tests/common/deployment.rs
@@ -23,7 +23,11 @@
 
 /// An engine of 80 layers on three kinds of cards, as users have them.
 pub fn engine() -> Engine {
-    let card = |memory_mb, pace, prefill_factor| Card { memory_mb, pace, prefill_factor };
+    let card = |memory_mb, decode_factor, prefill_factor| Card {
+        memory_mb,
+        decode_factor,
+        prefill_factor,
+    };
     let cards = BTreeMap::from([
         ("large".into(), card(72_000.0, 2.4, 3.2)),
         ("small".into(), card(14_400.0, 5.3, 7.9)),
