--- a/mimosashift/src/deployment/engine.rs
+++ b/mimosashift/src/deployment/engine.rs
@@ -33,7 +33,7 @@
     /// Steps, and so tokens, in one event of a stream.
     pub tokens_per_event: u32,
     /// Rate of the pipe between two zones, in bytes a millisecond.
-    pub pipe_per_ms: f64,
+    pub link_bytes_per_ms: f64,
     /// One-way delays between zones.
     pub delays: Vec<Delay>,
     /// Means of requests.
--- a/mimosashift/src/fleet/chain.rs
+++ b/mimosashift/src/fleet/chain.rs
@@ -322,8 +322,8 @@
     fn cross_zone_ms(&self, from: &str, to: &str) -> f64 {
         let tokens = self.query.demand.prompt + self.query.demand.output;
         let bytes = tokens * self.query.engine.activation_bytes;
-        let transfer_ms = if self.query.engine.pipe_per_ms > 0.0 {
-            bytes / self.query.engine.pipe_per_ms
+        let transfer_ms = if self.query.engine.link_bytes_per_ms > 0.0 {
+            bytes / self.query.engine.link_bytes_per_ms
         } else {
             0.0
         };
--- a/mimosashift/tests/common/deployment.rs
+++ b/mimosashift/tests/common/deployment.rs
@@ -45,7 +45,7 @@
         context_ms: 0.006_15,
         prefill_tokens_per_ms: 164.0,
         tokens_per_event: 4,
-        pipe_per_ms: 2_000_000.0,
+        link_bytes_per_ms: 2_000_000.0,
         delays: vec![delay("a", "b"), delay("a", "c"), delay("b", "c")],
         typical_request: TypicalRequest { prompt: 775.0, output: 220.0 },
         load: Duration::from_secs(14),
