--- a/mimosashift/src/deployment/engine.rs
+++ b/mimosashift/src/deployment/engine.rs
@@ -19,15 +19,15 @@
     /// Memory of one layer's weights, in megabytes.
     pub layer_mb: f64,
     /// Memory of one token's KV cache over all layers, in bytes.
-    pub token_bytes: f64,
+    pub kv_bytes_per_token: f64,
     /// Activations of one token between two endpoints, in bytes.
     pub activation_bytes: f64,
     /// Time of one token step over all layers on a card of pace 1, in ms.
     pub step_ms: f64,
     /// Time that each writing request adds to a step, in ms.
-    pub sequence_ms: f64,
+    pub step_ms_per_sequence: f64,
     /// Time that 1,000 tokens of context of a writing request add, in ms.
-    pub context_ms: f64,
+    pub step_ms_per_1k_context: f64,
     /// Prompt tokens read a millisecond over all layers at read factor 1.
     pub prefill_tokens_per_ms: f64,
     /// Steps, and so tokens, in one event of a stream.
@@ -39,7 +39,7 @@
     /// Means of requests.
     pub typical_request: TypicalRequest,
     /// Time to load the whole model.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Loads at once that do not slow one another.
     pub loads_at_once: u32,
     /// Cards by kind.
@@ -79,8 +79,8 @@
 
 impl Engine {
     /// Memory of one token's KV cache in one layer, in megabytes.
-    pub fn token_layer_mb(&self) -> f64 {
-        self.token_bytes / f64::from(self.layers.max(1)) / MEGABYTE
+    pub fn kv_mb_per_token_layer(&self) -> f64 {
+        self.kv_bytes_per_token / f64::from(self.layers.max(1)) / MEGABYTE
     }
 
     /// The card of an endpoint.
@@ -89,15 +89,15 @@
     }
 
     /// Tokens x layers of KV cache that fit beside `layers` layers of weights.
-    pub fn capacity(&self, card: &Card, layers: u16) -> f64 {
+    pub fn kv_capacity(&self, card: &Card, layers: u16) -> f64 {
         let free = card.memory_mb - f64::from(layers) * self.layer_mb;
-        (free / self.token_layer_mb()).max(0.0)
+        (free / self.kv_mb_per_token_layer()).max(0.0)
     }
 
     /// Most layers of weights that leave a card memory for the KV cache of
     /// `tokens` tokens in each of them.
-    pub fn layers_beside(&self, card: &Card, tokens: f64) -> u16 {
-        let each = self.layer_mb + tokens * self.token_layer_mb();
+    pub fn max_layers(&self, card: &Card, tokens: f64) -> u16 {
+        let each = self.layer_mb + tokens * self.kv_mb_per_token_layer();
         let layers = (card.memory_mb / each).floor().min(f64::from(self.layers));
         // Truncation is harmless: the value lies between 0 and `layers`.
         layers.max(0.0) as u16
--- a/mimosashift/src/fleet/chain.rs
+++ b/mimosashift/src/fleet/chain.rs
@@ -163,7 +163,7 @@
         let layers = member.endpoint.layers?;
         let card = engine.card(&member.endpoint)?;
         let layer_count = f64::from(engine.layers);
-        let capacity = engine.capacity(card, layers.count());
+        let capacity = engine.kv_capacity(card, layers.count());
         let usage = member.usage();
         let fill = (f64::from(usage.cache) / capacity.max(1.0)).min(MAX_COST_FILL);
         let is_cache_full = now < member.cache_full_until;
--- a/mimosashift/src/fleet/describe.rs
+++ b/mimosashift/src/fleet/describe.rs
@@ -19,7 +19,7 @@
         for member in self.members.values().filter(holds) {
             let endpoint = &member.endpoint;
             let count = endpoint.layers.map_or(0, |layers| layers.count());
-            let capacity = query.engine.card(endpoint).map(|c| query.engine.capacity(c, count));
+            let capacity = query.engine.card(endpoint).map(|c| query.engine.kv_capacity(c, count));
             let fill = capacity.map(|capacity| member.cache() / capacity.max(1.0));
             let fill = fill.map_or_else(|| "card unknown".to_owned(), |fill| format!("{fill:.2}"));
             let separator = if text.is_empty() { "" } else { ", " };
--- a/mimosashift/src/layout/mod.rs
+++ b/mimosashift/src/layout/mod.rs
@@ -112,7 +112,7 @@
 
 /// Number of layers that the endpoints can hold beside `tokens` of KV cache each.
 fn total_layers(engine: &Engine, pool: &[EndpointState], tokens: f64) -> u32 {
-    pool.iter().map(|endpoint| u32::from(engine.layers_beside(&endpoint.card, tokens))).sum()
+    pool.iter().map(|endpoint| u32::from(engine.max_layers(&endpoint.card, tokens))).sum()
 }
 
 struct Pool<'a> {
@@ -195,7 +195,7 @@
     fn capacity_of(&self, endpoint: &EndpointState, layers: Layers) -> f64 {
         let count = layers.count();
         // At least 1, because a layer whose holder has no memory left is no gap.
-        (self.engine.capacity(&endpoint.card, count) / f64::from(count)).max(1.0)
+        (self.engine.kv_capacity(&endpoint.card, count) / f64::from(count)).max(1.0)
     }
 
     /// Assigns the range with the highest score to every empty endpoint.
@@ -205,7 +205,7 @@
             if endpoint.layers.is_some() || endpoint.busy {
                 continue;
             }
-            let count = self.engine.layers_beside(&endpoint.card, tokens);
+            let count = self.engine.max_layers(&endpoint.card, tokens);
             let starts = 0..=self.engine.layers.saturating_sub(count);
             let score = |start: u16| -> f64 {
                 (start..start + count).map(|layer| self.copy_score(usize::from(layer))).sum()
@@ -245,7 +245,7 @@
             let mut without = self.capacity.clone();
             let tokens = self.capacity_of(endpoint, held);
             range(held).for_each(|layer| without[layer] -= tokens);
-            let most = self.engine.layers_beside(&endpoint.card, MIN_TOKENS);
+            let most = self.engine.max_layers(&endpoint.card, MIN_TOKENS);
             for layers in ranges(1, most, self.engine.layers) {
                 let given_up = range(held).filter(|layer| !range(layers).contains(layer));
                 if given_up.clone().any(|layer| without[layer] < MIN_REMAINING_SHARE * now) {
@@ -285,7 +285,7 @@
             if endpoint.busy {
                 continue;
             }
-            let most = self.engine.layers_beside(&endpoint.card, tokens);
+            let most = self.engine.max_layers(&endpoint.card, tokens);
             for (score, layers) in self.changes(endpoint, most) {
                 if score > best.map_or(0.0, |(score, ..)| score) {
                     best = Some((score, index, layers));
@@ -302,7 +302,7 @@
     fn changes(&self, endpoint: &EndpointState, most: u16) -> Vec<(f64, Layers)> {
         let now = endpoint.layers;
         let busy = now.map_or(0.0, |now| {
-            let capacity = self.engine.capacity(&endpoint.card, now.count());
+            let capacity = self.engine.kv_capacity(&endpoint.card, now.count());
             (endpoint.used / capacity.max(1.0)).min(1.0)
         });
         let least = now.map_or(1, |layers| layers.count().min(most)).max(1);
@@ -323,7 +323,7 @@
     /// Whether the KV cache in use fits beside `layers`. Preempted requests would
     /// have to repeat their prefill.
     fn fits(&self, endpoint: &EndpointState, layers: Layers) -> bool {
-        endpoint.used <= self.engine.capacity(&endpoint.card, layers.count())
+        endpoint.used <= self.engine.kv_capacity(&endpoint.card, layers.count())
     }
 
     /// Whether holding `next` instead would leave a layer without a holder.
--- a/mimosashift/tests/layout.rs
+++ b/mimosashift/tests/layout.rs
@@ -66,7 +66,7 @@
     for endpoint in endpoints {
         let zone_capacity = zones.entry(endpoint.zone.to_string()).or_insert_with(|| vec![0.0; 80]);
         let Some(held) = endpoint.layers else { continue };
-        let each = engine.capacity(&endpoint.card, held.count()) / f64::from(held.count());
+        let each = engine.kv_capacity(&endpoint.card, held.count()) / f64::from(held.count());
         for layer in held.start()..held.end() {
             zone_capacity[usize::from(layer)] += each.max(1.0);
         }
@@ -162,7 +162,7 @@
     converge(&engine, &mut endpoints);
     for endpoint in &mut endpoints {
         let held = endpoint.layers.unwrap().count();
-        endpoint.used = engine.capacity(&endpoint.card, held);
+        endpoint.used = engine.kv_capacity(&endpoint.card, held);
     }
     endpoints.remove(0);
     for planned in plan(&engine, &endpoints) {
