--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -9,7 +9,7 @@
 use mimosashift::deployment::Engine;
 use mimosashift::emit;
 use mimosashift::event::Event;
-use mimosashift::exchange::{Order, Ordered, Report};
+use mimosashift::exchange::{Order, OrderOutcome, Report};
 use mimosashift::fleet::{Hop, Member};
 use mimosashift::layout::{self, Assignment, EndpointState};
 use mimosashift::meter::PlatformCall;
@@ -329,15 +329,15 @@
         let response = async {
             let mut exchange = state.pool.send(hop.address, call, false).await.ok()?;
             let body = exchange.collect(64 * 1024).await.ok()?;
-            Some(wire::ordered(exchange.head.status(), &body))
+            Some(wire::order_outcome(exchange.head.status(), &body))
         };
         match timeout(ORDER_TIMEOUT, response).await.ok().flatten() {
-            Some(Ordered::Taken) => {}
-            Some(Ordered::Refused { status, .. }) => {
+            Some(OrderOutcome::Accepted) => {}
+            Some(OrderOutcome::Refused { status, .. }) => {
                 emit!(state.log, Event::OrderRefused, "endpoint" => &*hop.id, "status" => status);
                 self.pending.remove(&hop.id);
             }
-            Some(Ordered::Unknown) | None => {
+            Some(OrderOutcome::Unknown) | None => {
                 emit!(state.log, Event::OrderUnknown, "endpoint" => &*hop.id);
             }
         }
--- a/mimosafront/src/relay/model/stall.rs
+++ b/mimosafront/src/relay/model/stall.rs
@@ -6,7 +6,7 @@
 use mimosaplatform::engine as wire;
 use mimosashift::emit;
 use mimosashift::event::Event;
-use mimosashift::exchange::{Order, Ordered};
+use mimosashift::exchange::{Order, OrderOutcome};
 use mimosashift::fleet::{Chain, Hop, Member, Shortage};
 use mimosashift::meter::Recovery;
 use mimosashift::time::Instant;
@@ -99,7 +99,7 @@
                 return StallCheck::Lost("no chain from the first endpoint");
             };
             match self.send_reroute(first, &chain).await {
-                Ordered::Taken => {
+                OrderOutcome::Accepted => {
                     self.state().meter.recoveries(1, Recovery::Rebuilt);
                     let mut claim = self.claim.take().expect("started request has a chain");
                     self.state().fleet.borrow_mut().reroute(&mut claim, chain);
@@ -107,27 +107,27 @@
                     return StallCheck::Rerouted;
                 }
                 // The hop at fault has no room or is gone: try without it.
-                Ordered::Refused { at_fault: Some(address), .. } => {
+                OrderOutcome::Refused { at_fault: Some(address), .. } => {
                     let named = chain.iter().skip(1).find(|hop| hop.address == address);
                     let Some(hop) = named else { break };
                     self.avoid.push(hop.clone());
                 }
-                Ordered::Refused { at_fault: None, .. } | Ordered::Unknown => break,
+                OrderOutcome::Refused { at_fault: None, .. } | OrderOutcome::Unknown => break,
             }
         }
         StallCheck::Lost("request could not be rerouted")
     }
 
-    async fn send_reroute(&self, first: &Hop, chain: &Chain) -> Ordered {
+    async fn send_reroute(&self, first: &Hop, chain: &Chain) -> OrderOutcome {
         let order = Order::Reroute { id: &self.ctx.id, chain };
         let call = wire::order_call(first.address, &first.id, &order);
         let response = async {
             let mut exchange = self.state().pool.send(first.address, call, false).await.ok()?;
             let body = exchange.collect(MAX_ANSWER_BYTES).await.ok()?;
-            Some(wire::ordered(exchange.head.status(), &body))
+            Some(wire::order_outcome(exchange.head.status(), &body))
         };
         let ordered = timeout(ORDER_TIMEOUT, response).await.ok().flatten();
-        let ordered = ordered.unwrap_or(Ordered::Unknown);
+        let ordered = ordered.unwrap_or(OrderOutcome::Unknown);
         let to: Vec<_> = chain.iter().map(|hop| format!("{}:{}", hop.id, hop.layers)).collect();
         let answer = format!("{ordered:?}");
         emit!(self.state().log, Event::RequestMoved, "request" => &*self.ctx.id, "to" => to.join(","), "said" => answer, "after_event" => self.events.last());
--- a/mimosashift/src/exchange/mod.rs
+++ b/mimosashift/src/exchange/mod.rs
@@ -117,9 +117,9 @@
 
 /// What became of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// It began or its state holds already.
-    Taken,
+    Accepted,
     /// It was refused.
     Refused {
         /// Status of the refusal.
