--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -322,7 +322,7 @@
         let authority = self.lease.as_ref().and_then(|l| l.authorize(true, clock::now()));
         let Some(token) = authority else { return };
         let order = Order::Place { layers: hop.layers, after, fencing_token: token.0 };
-        let call = wire::order_call(hop.address, &hop.id, &order);
+        let call = wire::order_request(hop.address, &hop.id, &order);
         let state = self.state.clone();
         state.meter.orders(1);
         emit!(state.log, Event::OrderSent, "endpoint" => &*hop.id, "layers" => hop.layers.to_string(), "after" => after, "fencing_token" => token.0);
--- a/mimosafront/src/probe.rs
+++ b/mimosafront/src/probe.rs
@@ -127,12 +127,12 @@
     fresh: bool,
     time: Duration,
 ) -> Result<Report, String> {
-    let call = engine::report_call(hop.address);
+    let call = engine::report_request(hop.address);
     let exchange = async {
         let mut exchange =
             state.pool.send(hop.address, call, fresh).await.map_err(|e| e.to_string())?;
         let body = exchange.collect(MAX_REPORT_BYTES).await.map_err(|e| e.to_string())?;
-        engine::report(&body).map_err(|e| e.to_string())
+        engine::decode_report(&body).map_err(|e| e.to_string())
     };
     let mut exchange = std::pin::pin!(exchange);
     let report = match timeout(time, &mut exchange).await {
--- a/mimosafront/src/relay/model/stall.rs
+++ b/mimosafront/src/relay/model/stall.rs
@@ -120,7 +120,7 @@
 
     async fn send_reroute(&self, first: &Hop, chain: &Chain) -> OrderOutcome {
         let order = Order::Reroute { id: &self.ctx.id, chain };
-        let call = wire::order_call(first.address, &first.id, &order);
+        let call = wire::order_request(first.address, &first.id, &order);
         let response = async {
             let mut exchange = self.state().pool.send(first.address, call, false).await.ok()?;
             let body = exchange.collect(MAX_ANSWER_BYTES).await.ok()?;
