--- a/mimosafront/src/relay/mod.rs
+++ b/mimosafront/src/relay/mod.rs
@@ -14,7 +14,7 @@
 use mimosashift::deployment::{Denied, Deployment, Route, Service};
 use mimosashift::emit;
 use mimosashift::event::Event;
-use mimosashift::exchange::{Answer as AnswerInfo, Forward, Tokens};
+use mimosashift::exchange::{Forward, ResponseInfo as AnswerInfo, Tokens};
 use mimosashift::fleet::Hop;
 use mimosashift::meter::{Outcome, RefusalReason};
 use mimosashift::time::Instant;
--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -405,7 +405,7 @@
         exchange: Exchange,
     ) -> Result<Exchange, &'static str> {
         let status = exchange.head.status();
-        let info = header::answer(exchange.head.headers());
+        let info = header::response(exchange.head.headers());
         if !self.ctx.is_answered_by(&info, status) {
             self.state().pool.forget(first.address);
             self.may_have_run += 1;
--- a/mimosafront/src/relay/plain.rs
+++ b/mimosafront/src/relay/plain.rs
@@ -8,7 +8,7 @@
 use mimosaplatform::header;
 use mimosashift::emit;
 use mimosashift::event::Event;
-use mimosashift::exchange::Answer as AnswerInfo;
+use mimosashift::exchange::ResponseInfo as AnswerInfo;
 use mimosashift::fleet::Hop;
 use mimosashift::link::{Exchange, Failure};
 use mimosashift::meter::{Outcome, RefusalReason};
@@ -172,7 +172,7 @@
     can_retry: bool,
 ) -> SendOutcome {
     let status = exchange.head.status();
-    let info: AnswerInfo = header::answer(exchange.head.headers());
+    let info: AnswerInfo = header::response(exchange.head.headers());
     if !ctx.is_answered_by(&info, status) {
         ctx.state.pool.forget(exchange.address());
         emit!(ctx.state.log, Event::ReplyDropped, "request" => &*ctx.id, "answers" => info.id.unwrap_or_default());
--- a/mimosashift/src/exchange/mod.rs
+++ b/mimosashift/src/exchange/mod.rs
@@ -58,7 +58,7 @@
 
 /// What an endpoint's answer says about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct ResponseInfo {
     /// Id of the request that it answers.
     pub id: Option<String>,
     /// Whether it bears the endpoint's signature.
