--- a/mimosafront/src/relay/mod.rs
+++ b/mimosafront/src/relay/mod.rs
@@ -97,7 +97,7 @@
     /// The request as sent to an endpoint.
     fn request(&self, hop: &Hop, chain: &[Hop], last_event: Option<u64>) -> Request<Full<Bytes>> {
         let forward = Forward {
-            left: self.remaining(),
+            remaining: self.remaining(),
             endpoint: &hop.id,
             team: self.team.as_deref(),
             chain,
@@ -188,7 +188,8 @@
     }
     let body = read_body(body, limit.body_bytes, limit.read_timeout).await?;
     let path = head.uri.path();
-    let (deployment, route, team) = resolve_route(state, &host, path, info.key.as_deref()).await?;
+    let (deployment, route, team) =
+        resolve_route(state, &host, path, info.api_key.as_deref()).await?;
     let target = route.target(state.random_fraction());
     let service = deployment.service(target).cloned();
     let service = service.ok_or(RequestError::Refused(
@@ -197,7 +198,7 @@
         NOT_READY_RETRY_AFTER,
     ))?;
     state.count_request(&service.name);
-    let wait = info.wait.map_or(route.timeout, |wait| wait.min(route.timeout));
+    let wait = info.timeout.map_or(route.timeout, |wait| wait.min(route.timeout));
     Ok(RequestContext {
         state: state.clone(),
         id: info.id,
--- a/mimosashift/src/exchange/mod.rs
+++ b/mimosashift/src/exchange/mod.rs
@@ -26,9 +26,9 @@
     /// Id of the client's attempt.
     pub id: Arc<str>,
     /// How long the client waits.
-    pub wait: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The key it presents.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Tokens, of a request for a model.
     pub tokens: Option<Tokens>,
     /// The last event that the client has, when it resumes a stream.
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 pub struct Forward<'a> {
     /// Time that is left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The endpoint that is meant.
     pub endpoint: &'a str,
     /// The team whose request it is.
