--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -222,7 +222,7 @@
             self.pending.remove(&hop.id);
         } else if !report.busy && now.since(pending.last_sent) > ORDER_REPEAT_DELAY {
             pending.last_sent = now;
-            self.send_order(hop, report.orders).await;
+            self.send_order(hop, report.orders_started).await;
         }
     }
 
@@ -315,7 +315,7 @@
             first_sent: now,
         };
         self.pending.insert(hop.id.clone(), pending);
-        self.send_order(&hop, report.orders).await;
+        self.send_order(&hop, report.orders_started).await;
     }
 
     async fn send_order(&mut self, hop: &Hop, after: u64) {
--- a/mimosashift/src/exchange/mod.rs
+++ b/mimosashift/src/exchange/mod.rs
@@ -79,17 +79,17 @@
     /// Whether an order is being carried out.
     pub busy: bool,
     /// Orders begun since its start.
-    pub orders: u64,
+    pub orders_started: u64,
     /// Requests that wait for a place.
     pub waiting: u32,
     /// Requests that run.
     pub running: u32,
     /// Tokens x layers of KV cache in use.
-    pub used: f64,
+    pub kv_used: f64,
     /// Layers that it holds.
     pub layers: Option<crate::resource::Layers>,
     /// How many times slower than its card's figures it is.
-    pub pace: f64,
+    pub slowdown: f64,
     /// Requests that wait for an endpoint of their chain, and which.
     pub stalled: Vec<(String, SocketAddr)>,
 }
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -364,7 +364,7 @@
             endpoint: endpoint_key(id),
             incarnation: report.incarnation,
             layers: report.layers,
-            pace: report.pace.max(1.0) as f32,
+            pace: report.slowdown.max(1.0) as f32,
         };
         self.members.get_mut(id)?.apply(&observation, now).then_some(observation)
     }
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -277,8 +277,12 @@
 #[test]
 fn slow_endpoint_gets_work_only_for_layers_that_no_other_holds() {
     let mut fleet = fleet(two_zones());
-    let slow =
-        |layers| Report { incarnation: 1, layers: Some(layers), pace: 12.0, ..Report::default() };
+    let slow = |layers| Report {
+        incarnation: 1,
+        layers: Some(layers),
+        slowdown: 12.0,
+        ..Report::default()
+    };
     assert!(fleet.apply_report("e1", &slow(layers(0, 40)), at(1)).is_some());
     assert!(fleet.apply_report("e1", &slow(layers(0, 40)), at(2)).is_none(), "nothing changed");
     assert_eq!(ids(&choose(&fleet, &DEMAND).unwrap())[0], "e3");
