--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -66,7 +66,7 @@
             },
             Some(after) => match state.store.changes(config::TABLE, after).await {
                 Outcome::Done(Changes::Since(rows)) => Outcome::Done(Some(rows)),
-                Outcome::Done(Changes::Forgotten) => Outcome::Done(None),
+                Outcome::Done(Changes::HistoryExpired) => Outcome::Done(None),
                 Outcome::NotDone(refusal) => Outcome::NotDone(refusal),
                 Outcome::Unknown => Outcome::Unknown,
             },
