--- a/mimosafront/src/settings.rs
+++ b/mimosafront/src/settings.rs
@@ -40,7 +40,7 @@
         let variable = std::env::var_os(PATH_VARIABLE).map(PathBuf::from);
         let path = flag.or(variable).unwrap_or_else(|| DEFAULT_PATH.into());
         let text = read(&path)?;
-        let node = settings::node(&text).map_err(Error::Invalid)?;
+        let node = settings::parse(&text).map_err(Error::Invalid)?;
         Ok((Self { path, text }, node))
     }
 
@@ -52,7 +52,7 @@
             Err(error) => return Some(Err(error)),
         };
         self.text = text;
-        Some(settings::node(&self.text).map_err(Error::Invalid))
+        Some(settings::parse(&self.text).map_err(Error::Invalid))
     }
 }
 
