--- a/mimosafront/src/relay/mod.rs
+++ b/mimosafront/src/relay/mod.rs
@@ -284,7 +284,7 @@
         Some(Ok(resolved)) if resolved.1.public || state.keys_are_current() => Ok(resolved),
         Some(Ok(_)) => not_ready("keys not confirmed"),
         Some(Err(Denied::NoRoute)) => Err(RequestError::Denied(StatusCode::NOT_FOUND, "no route")),
-        Some(Err(Denied::NoKey)) => {
+        Some(Err(Denied::InvalidKey)) => {
             Err(RequestError::Denied(StatusCode::UNAUTHORIZED, "unknown key"))
         }
         None => not_ready("no configuration"),
--- a/mimosashift/src/deployment/mod.rs
+++ b/mimosashift/src/deployment/mod.rs
@@ -147,7 +147,7 @@
     /// No route serves the host and path.
     NoRoute,
     /// The key is missing or not known.
-    NoKey,
+    InvalidKey,
 }
 
 impl Default for Limits {
@@ -201,7 +201,7 @@
         if route.public {
             return Ok(None);
         }
-        let team = key.and_then(|key| self.keys.get(key)).ok_or(Denied::NoKey)?;
+        let team = key.and_then(|key| self.keys.get(key)).ok_or(Denied::InvalidKey)?;
         Ok(Some(team))
     }
 
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -73,8 +73,8 @@
     let private = deployment.route("example", "/a/").unwrap();
     let public = deployment.route("example", "/").unwrap();
     assert_eq!(deployment.team(private, Some("key")).unwrap().unwrap().name, "officers");
-    assert_eq!(deployment.team(private, Some("other")), Err(Denied::NoKey));
-    assert_eq!(deployment.team(private, None), Err(Denied::NoKey));
+    assert_eq!(deployment.team(private, Some("other")), Err(Denied::InvalidKey));
+    assert_eq!(deployment.team(private, None), Err(Denied::InvalidKey));
     assert_eq!(deployment.team(public, Some("other")), Ok(None));
 }
 
