--- a/mimosafront/src/run.rs
+++ b/mimosafront/src/run.rs
@@ -40,16 +40,16 @@
 
 async fn serve(options: StartOptions, signals: Signals) -> io::Result<usize> {
     let StartOptions { file, node, metrics, log, meter } = options;
-    let peer = SocketAddr::new(node.clients.ip(), node.peer_ports.0);
-    let clients = TcpListener::bind(node.clients).await?;
-    let readiness = TcpListener::bind(node.readiness).await?;
+    let peer = SocketAddr::new(node.client_address.ip(), node.peer_ports.0);
+    let clients = TcpListener::bind(node.client_address).await?;
+    let readiness = TcpListener::bind(node.readiness_address).await?;
     let peer_listener = TcpListener::bind(peer).await?;
     let peer_socket = UdpSocket::bind(peer).await?;
     let state = RouterState::new(node, log, meter);
     let node = state.node();
     emit!(
         state.log, Event::FrontStarted,
-        "node" => &*node.name, "zone" => &*node.zone, "clients" => node.clients.to_string(),
+        "node" => &*node.name, "zone" => &*node.zone, "clients" => node.client_address.to_string(),
         "incarnation" => state.incarnation, "version" => env!("CARGO_PKG_VERSION"),
     );
     let (closing, closed) = watch::channel(false);
--- a/mimosafront/src/state.rs
+++ b/mimosafront/src/state.rs
@@ -114,7 +114,7 @@
         let store = Store::new(pool.clone(), node.store.address, STORE_TIMEOUT);
         let now = clock::now();
         let port = node.peer_ports.0;
-        let own_address = std::net::SocketAddr::new(node.clients.ip(), port);
+        let own_address = std::net::SocketAddr::new(node.client_address.ip(), port);
         let seeds: Vec<_> =
             node.seeds.iter().map(|seed| std::net::SocketAddr::new(seed.ip(), port)).collect();
         let incarnation = clock::unix_micros();
--- a/mimosashift/src/deployment/node.rs
+++ b/mimosashift/src/deployment/node.rs
@@ -12,9 +12,9 @@
     /// Its failure domain.
     pub zone: Arc<str>,
     /// Where clients connect.
-    pub clients: SocketAddr,
+    pub client_address: SocketAddr,
     /// Where the balancer asks whether it is ready.
-    pub readiness: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// First and last port for talk between routers.
     pub peer_ports: (u16, u16),
     /// Addresses of some routers, which may be out of date.
