--- a/mimosafront/src/shutdown.rs
+++ b/mimosafront/src/shutdown.rs
@@ -68,7 +68,7 @@
         }
     }
     state.stopping.set(true);
-    let grace = state.node().bounds.grace;
+    let grace = state.node().bounds.shutdown_grace;
     let in_flight = state.in_flight.get();
     emit!(state.log, Event::FrontStopping, "in_flight" => in_flight, "grace_ms" => crate::state::millis(grace));
     let deadline = tokio::time::Instant::now() + grace.saturating_sub(EXIT_MARGIN);
--- a/mimosashift/src/deployment/node.rs
+++ b/mimosashift/src/deployment/node.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Time from SIGTERM until the process is killed.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Time for which a key that was taken away may still be used; `None`
     /// when keys may be used without a bound.
     pub revocation: Option<Duration>,
@@ -53,9 +53,9 @@
     /// Retries of all routers in a window on top of the ratio.
     pub extra_retries: f64,
     /// Time for which an endpoint that left still serves.
-    pub drain: Duration,
+    pub drain_time: Duration,
     /// Time after which an engine gives up work that waits for a dead one.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// Whether endpoints check fencing numbers.
-    pub fenced: bool,
+    pub fencing_required: bool,
 }
