--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -332,7 +332,7 @@
             Some(wire::order_outcome(exchange.head.status(), &body))
         };
         match timeout(ORDER_TIMEOUT, response).await.ok().flatten() {
-            Some(OrderOutcome::Accepted) => {}
+            Some(OrderOutcome::Taken) => {}
             Some(OrderOutcome::Refused { status, .. }) => {
                 emit!(state.log, Event::OrderRefused, "endpoint" => &*hop.id, "status" => status);
                 self.pending.remove(&hop.id);
--- a/mimosafront/src/relay/model/stall.rs
+++ b/mimosafront/src/relay/model/stall.rs
@@ -99,7 +99,7 @@
                 return StallCheck::Lost("no chain from the first endpoint");
             };
             match self.send_reroute(first, &chain).await {
-                OrderOutcome::Accepted => {
+                OrderOutcome::Taken => {
                     self.state().meter.recoveries(1, Recovery::Rebuilt);
                     let mut claim = self.claim.take().expect("started request has a chain");
                     self.state().fleet.borrow_mut().reroute(&mut claim, chain);
--- a/mimosashift/src/exchange/mod.rs
+++ b/mimosashift/src/exchange/mod.rs
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// It began or its state holds already.
-    Accepted,
+    Taken,
     /// It was refused.
     Refused {
         /// Status of the refusal.
