--- a/mimosashift/src/deployment/mod.rs
+++ b/mimosashift/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! What a deployment declares: routes, services, teams, endpoints and nodes.
+//! The configuration of a deployment: routes, services, teams, endpoints and nodes.
 //!
 //! An adapter decodes a platform's own formats into these types; see
 //! `docs/design/deployment.md`.
@@ -18,22 +18,22 @@
 
 use crate::resource::Layers;
 
-/// A configuration, in force as a whole.
+/// A configuration; it takes effect as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
-    /// Rises with every configuration.
+    /// Increases with every configuration.
     pub revision: u64,
     /// Routes by host, then by path prefix.
     routes: HashMap<String, HashMap<String, Arc<Route>>>,
     /// Services by name.
     services: HashMap<Arc<str>, Arc<Service>>,
-    /// Teams by key.
-    keys: HashMap<String, Arc<Team>>,
-    /// Limits of what a client may send.
+    /// Teams by API key.
+    teams_by_key: HashMap<String, Arc<Team>>,
+    /// Limits on client requests and connections.
     pub limits: Limits,
 }
 
-/// Where a request goes and what may be done with it.
+/// Where requests are routed and how they may be handled.
 #[derive(Clone, Debug)]
 pub struct Route {
     /// Its name, for logs.
@@ -42,23 +42,23 @@
     pub host: String,
     /// Path prefix that it serves; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: RouteKind,
-    /// Longest time that a request may be kept waiting.
+    /// Latest deadline of a request, counted from its arrival.
     pub timeout: Duration,
-    /// Latency objective: to the answer, or to a stream's first event.
+    /// Latency objective: time to the response, or to a stream's first event.
     pub objective: Duration,
-    /// Most endpoints that one request is sent to.
+    /// Maximum number of endpoints that one request is sent to.
     pub attempts: u32,
-    /// Rank, 0 first.
+    /// Priority level, 0 first.
     pub priority: u8,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub public: bool,
     /// Services and their weights; at least one.
     pub targets: SmallVec<[(Arc<str>, u32); 2]>,
 }
 
-/// What may be repeated.
+/// Whether requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run any number of times.
@@ -67,7 +67,7 @@
     Unsafe,
     /// A stream of events.
     Stream {
-        /// Whether it may go on elsewhere after its last event.
+        /// Whether another endpoint may continue it after the last event.
         resumable: bool,
     },
 }
@@ -81,38 +81,38 @@
     pub health_path: String,
     /// Connections that one endpoint accepts from all routers.
     pub connection_limit: u32,
-    /// Figures of its model engine; plain services have none.
+    /// Parameters of its model engine; plain services have none.
     pub engine: Option<Arc<Engine>>,
 }
 
-/// Whose requests a key stands for.
+/// The team whose requests an API key authorizes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Team {
-    /// Its name, which endpoints are told.
+    /// Its name, which is sent to endpoints.
     pub name: String,
-    /// Rank that goes before the route's.
+    /// Priority level that overrides the route's.
     pub priority: Option<u8>,
 }
 
-/// Limits of what a client may send.
+/// Limits on client requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Largest request head, in bytes.
     pub head_bytes: usize,
     /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// Time to send a request's head and again its body.
+    /// Time limit for reading a request's head, and again for reading its body.
     pub read_timeout: Duration,
-    /// Time that a connection may stay idle.
+    /// Time for which a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It does.
+    /// Accepts new work.
     Ready,
-    /// It is leaving.
+    /// Is shutting down and accepts no new work.
     Draining,
 }
 
@@ -127,17 +127,17 @@
     pub address: SocketAddr,
     /// Its failure domain.
     pub zone: Arc<str>,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub status: EndpointStatus,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Distinguishes its starts: the time of the start, Unix milliseconds.
+    /// Start time in Unix milliseconds, which identifies this start of the endpoint.
     pub incarnation: u64,
-    /// Rises with every heartbeat.
+    /// Increases with every heartbeat.
     pub heartbeat: u64,
     /// Layers that it holds.
     pub layers: Option<Layers>,
-    /// RouteKind of its accelerator.
+    /// Kind of its accelerator.
     pub card: Option<Arc<str>>,
 }
 
@@ -146,12 +146,12 @@
 pub enum Denied {
     /// No route serves the host and path.
     NoRoute,
-    /// The key is missing or not known.
+    /// The API key is missing or unknown.
     InvalidKey,
 }
 
 impl Default for Limits {
-    /// The bounds used before any configuration is known.
+    /// The limits in force before a configuration has been loaded.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -163,7 +163,7 @@
 }
 
 impl Deployment {
-    /// A configuration of these parts.
+    /// Builds a configuration from its parts.
     pub fn new(
         revision: u64,
         routes: Vec<Route>,
@@ -182,32 +182,32 @@
         for (team, keys) in teams {
             let team = Arc::new(team);
             for key in keys {
-                deployment.keys.insert(key, team.clone());
+                deployment.teams_by_key.insert(key, team.clone());
             }
         }
         deployment
     }
 
-    /// The route with the longest prefix that begins `path`.
+    /// The route with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let prefixes = self.routes.get(&host.to_ascii_lowercase())?;
-        let ends = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
-        ends.map(|(at, _)| &path[..=at]).find_map(|prefix| prefixes.get(prefix))
+        let slashes = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
+        slashes.map(|(at, _)| &path[..=at]).find_map(|prefix| prefixes.get(prefix))
     }
 
-    /// The team whose key this is; a public route needs none.
+    /// The team to which `key` belongs; `None` for public routes, which need no key.
     pub fn team(&self, route: &Route, key: Option<&str>) -> Result<Option<&Arc<Team>>, Denied> {
         if route.public {
             return Ok(None);
         }
-        let team = key.and_then(|key| self.keys.get(key)).ok_or(Denied::InvalidKey)?;
+        let team = key.and_then(|key| self.teams_by_key.get(key)).ok_or(Denied::InvalidKey)?;
         Ok(Some(team))
     }
 
-    /// Whether the configuration holds any keys; without teams none is needed.
+    /// Whether the configuration holds any API keys; without any, requests need none.
     pub fn has_keys(&self) -> bool {
-        !self.keys.is_empty()
+        !self.teams_by_key.is_empty()
     }
 
     /// A service by name.
@@ -215,7 +215,7 @@
         self.services.get(name)
     }
 
-    /// Every service.
+    /// All services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
@@ -227,13 +227,13 @@
 }
 
 impl Route {
-    /// The service for a request, by the weights and a draw from `0.0..1.0`.
-    pub fn target(&self, draw: f64) -> &Arc<str> {
+    /// Picks a service by weight, given a random number from `0.0..1.0`.
+    pub fn target(&self, random: f64) -> &Arc<str> {
         let total: u32 = self.targets.iter().map(|(_, weight)| weight).sum();
-        let mut left = draw * f64::from(total);
+        let mut remaining = random * f64::from(total);
         for (service, weight) in &self.targets {
-            left -= f64::from(*weight);
-            if left < 0.0 {
+            remaining -= f64::from(*weight);
+            if remaining < 0.0 {
                 return service;
             }
         }
--- a/mimosashift/src/deployment/node.rs
+++ b/mimosashift/src/deployment/node.rs
@@ -1,4 +1,4 @@
-//! Who and where a router is, and the bounds that it must keep.
+//! A router's identity, addresses and operating limits.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,19 +11,19 @@
     pub name: Arc<str>,
     /// Its failure domain.
     pub zone: Arc<str>,
-    /// Where clients connect.
+    /// Address for clients.
     pub client_address: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// Address of the readiness check, which the load balancer calls.
     pub readiness_address: SocketAddr,
-    /// First and last port for talk between routers.
+    /// First and last port for communication between routers.
     pub peer_ports: (u16, u16),
-    /// Addresses of some routers, which may be out of date.
+    /// Addresses of other routers to contact first; they may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two heartbeats of an endpoint.
+    /// Interval between heartbeats of an endpoint.
     pub heartbeat: Duration,
     /// The store.
     pub store: Store,
-    /// Bounds that must be kept.
+    /// Limits that it must observe.
     pub bounds: Bounds,
 }
 
@@ -32,30 +32,30 @@
 pub struct Store {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Writes a second that all routers together may make.
+    /// Writes per second that all routers together may make.
     pub writes_per_s: f64,
-    /// Reads a second that all routers together may make.
+    /// Reads per second that all routers together may make.
     pub reads_per_s: f64,
 }
 
-/// Bounds that must be kept.
+/// Limits that a router must observe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Time from SIGTERM until the process is killed.
     pub shutdown_grace: Duration,
-    /// Time for which a key that was taken away may still be used; `None`
-    /// when keys may be used without a bound.
+    /// Time for which a revoked key may still be accepted; `None` if there is no
+    /// limit.
     pub revocation: Option<Duration>,
-    /// Retries of all routers for each request.
+    /// Retries per request, over all routers.
     pub retry_ratio: f64,
-    /// Window in which retries are counted.
+    /// Length of the window in which retries are counted.
     pub retry_window: Duration,
-    /// Retries of all routers in a window on top of the ratio.
+    /// Retries of all routers per window in addition to the ratio.
     pub extra_retries: f64,
-    /// Time for which an endpoint that left still serves.
+    /// Time for which a draining endpoint still serves requests.
     pub drain_time: Duration,
-    /// Time after which an engine gives up work that waits for a dead one.
+    /// Time after which an engine aborts work that waits for a dead engine.
     pub stall_timeout: Duration,
-    /// Whether endpoints check fencing numbers.
+    /// Whether endpoints check fencing tokens.
     pub fencing_required: bool,
 }
--- a/mimosashift/src/engine/http.rs
+++ b/mimosashift/src/engine/http.rs
@@ -14,10 +14,10 @@
 /// Header that carries the labels of a step and of its reply.
 pub const STEP_HEADER: &str = "x-engine-step";
 
-/// Time for calls that run no layers.
+/// Timeout of calls that run no layers.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a step's body holds.
+/// Content of a step's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Content {
@@ -30,15 +30,15 @@
 /// The header of a step or reply, as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Labels.
+    /// Labels of the step.
     #[serde(flatten)]
     pub label: Label,
-    /// What the body holds.
+    /// Content of the body.
     pub content: Content,
     /// Priority level, 0 first.
     #[serde(default)]
     pub priority: u8,
-    /// Adapter, if any.
+    /// Name of the adapter, if any.
     #[serde(default)]
     pub adapter: Option<Name>,
 }
@@ -48,44 +48,44 @@
 pub struct Refusal {
     /// One of the codes in `docs/ENGINE.md`.
     pub code: Code,
-    /// What is wrong.
+    /// Description of the problem.
     pub detail: String,
 }
 
-/// Codes of a refusal.
+/// Reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Code {
     /// No KV cache for this request and attempt.
     NoCache,
-    /// Shutting down.
+    /// The engine is shutting down.
     Leaving,
-    /// Every slot is taken.
+    /// All slots are in use.
     Overloaded,
-    /// The step cannot be run here.
+    /// The engine cannot run this step.
     Refused,
 }
 
 /// Asks an engine to fetch the KV cache of a request from another engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Import {
-    /// Where the cache is now.
+    /// Address of the engine that holds the cache.
     pub from: SocketAddr,
-    /// Labels under which it is kept there; `position` is the number of
+    /// Labels under which that engine stores it; `position` is the number of
     /// tokens that it must cover.
     pub source: Label,
-    /// Attempt under which it is to be kept here.
+    /// Attempt under which this engine stores it.
     pub attempt: u32,
 }
 
-/// Makes engine calls over HTTP.
+/// Calls engines over HTTP.
 #[derive(Clone)]
 pub struct Adapter {
     client: Arc<Client>,
 }
 
 impl Adapter {
-    /// An adapter that calls through `client`.
+    /// An adapter that sends its calls with `client`.
     pub fn new(client: Arc<Client>) -> Self {
         Self { client }
     }
@@ -100,20 +100,20 @@
         let (header, body) = encode(step);
         let headers = [(STEP_HEADER, header.as_str())];
         let call = call(address, Method::POST, "/v1/steps", &headers, &body, timeout);
-        let answer = self.client.call(&call).map_err(Failure::from)?;
-        decode_reply(&answer)
+        let response = self.client.call(&call).map_err(Failure::from)?;
+        decode_reply(&response)
     }
 
-    /// Drops what an engine keeps for a request, up to and including an
-    /// attempt.
+    /// Releases the state that an engine holds for a request, up to and including
+    /// `attempt`.
     pub fn cancel(&self, address: SocketAddr, request: RequestId, attempt: u32) {
         let path = format!("/v1/requests/{request}?attempt={attempt}");
         let call = call(address, Method::DELETE, &path, &[], &[], CONTROL_TIMEOUT);
-        // A lost cancel costs the engine memory until its own expiry, no more.
+        // A lost cancel is harmless: the engine frees the memory at its own expiry.
         let _ = self.client.call(&call);
     }
 
-    /// Moves KV cache between two engines.
+    /// Asks an engine to import KV cache from another engine.
     pub fn import(
         &self,
         address: SocketAddr,
@@ -122,15 +122,15 @@
     ) -> Result<(), Failure> {
         let body = serde_json::to_vec(import).expect("an import has only string keys");
         let call = call(address, Method::POST, "/v1/imports", &[], &body, timeout);
-        let answer = self.client.call(&call).map_err(Failure::from)?;
-        if answer.status.is_success() { Ok(()) } else { Err(refusal(&answer)) }
+        let response = self.client.call(&call).map_err(Failure::from)?;
+        if response.status.is_success() { Ok(()) } else { Err(refusal(&response)) }
     }
 
     /// Reads an engine's load report.
     pub fn load(&self, address: SocketAddr) -> Result<Load, Failure> {
         let call = call(address, Method::GET, "/v1/load", &[], &[], CONTROL_TIMEOUT);
-        let answer = self.client.call(&call).map_err(Failure::from)?;
-        serde_json::from_slice(&answer.body).map_err(|e| Failure::Malformed(e.to_string()))
+        let response = self.client.call(&call).map_err(Failure::from)?;
+        serde_json::from_slice(&response.body).map_err(|e| Failure::Malformed(e.to_string()))
     }
 }
 
@@ -171,18 +171,18 @@
     Ok(Step { label: header.label, priority: header.priority, adapter: header.adapter, input })
 }
 
-fn decode_reply(answer: &Answer) -> Result<Reply, Failure> {
-    if answer.status != StatusCode::OK {
-        return Err(refusal(answer));
+fn decode_reply(response: &Answer) -> Result<Reply, Failure> {
+    if response.status != StatusCode::OK {
+        return Err(refusal(response));
     }
-    let header = answer
+    let header = response
         .header(STEP_HEADER)
         .ok_or_else(|| Failure::Malformed(format!("no {STEP_HEADER} header")))?;
     let header: Header =
         serde_json::from_str(header).map_err(|e| Failure::Malformed(e.to_string()))?;
     let output = match header.content {
-        Content::Hidden => Output::Hidden(answer.body.clone()),
-        Content::Tokens => match decode_tokens(&answer.body)?[..] {
+        Content::Hidden => Output::Hidden(response.body.clone()),
+        Content::Tokens => match decode_tokens(&response.body)?[..] {
             [token] => Output::Token(token),
             ref tokens => {
                 let reason = format!("{} tokens in a reply, must be 1", tokens.len());
@@ -203,9 +203,12 @@
     Ok(chunks.map(token).collect())
 }
 
-fn refusal(answer: &Answer) -> Failure {
-    let Ok(refusal) = serde_json::from_slice::<Refusal>(&answer.body) else {
-        return Failure::Malformed(format!("status {} without a refusal", answer.status.as_u16()));
+fn refusal(response: &Answer) -> Failure {
+    let Ok(refusal) = serde_json::from_slice::<Refusal>(&response.body) else {
+        return Failure::Malformed(format!(
+            "status {} without a refusal",
+            response.status.as_u16()
+        ));
     };
     match refusal.code {
         Code::NoCache => Failure::NoCache,
--- a/mimosashift/src/engine/mod.rs
+++ b/mimosashift/src/engine/mod.rs
@@ -1,7 +1,7 @@
-//! What the router says to a model engine and hears back.
+//! Messages between the router and model engines.
 //!
-//! The exchange over HTTP is described in `docs/ENGINE.md`. The types here are
-//! the router's own; adapters turn them into one protocol each.
+//! The types here are independent of a protocol; adapters translate them. The
+//! protocol over HTTP is described in `docs/ENGINE.md`.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 
 pub mod http;
 
-/// Identifies one caller's request over all routers.
+/// Identifies a caller's request across all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u128);
 
-/// The labels of one step; a reply is accepted only when its labels match.
+/// The labels of a step; a reply is accepted only if its labels match.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Label {
     /// The request.
     pub request: RequestId,
-    /// Which try of this request at these stages; a later attempt replaces
-    /// every earlier one.
+    /// Number of this attempt of the request at these stages; a later attempt
+    /// replaces every earlier one.
     pub attempt: u32,
-    /// Position of the first token of the step in the sequence, from 0.
+    /// Position in the sequence of the step's first token, from 0.
     pub position: u32,
-    /// Number of tokens in the step: many for a prompt, one for decoding.
+    /// Number of tokens in the step: several for prefill, one for decoding.
     pub count: u32,
     /// Layers to run.
     pub layers: Layers,
@@ -42,21 +42,21 @@
 pub enum Input {
     /// Token ids, for the stage that holds layer 0.
     Tokens(Vec<u32>),
-    /// Activations of the stage before, `count` times the pipeline's
-    /// `hidden_bytes` or fewer.
+    /// Activations from the previous stage, at most `count` times the pipeline's
+    /// `hidden_bytes`.
     Hidden(Vec<u8>),
 }
 
 /// Work for one stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// What the reply must carry.
+    /// Labels that the reply must carry.
     pub label: Label,
     /// Priority level for the engine's queue, 0 first.
     pub priority: u8,
     /// The adapter, if the caller named one.
     pub adapter: Option<Name>,
-    /// What to run the layers on.
+    /// Input to the layers.
     pub input: Input,
 }
 
@@ -69,10 +69,10 @@
     Token(u32),
 }
 
-/// Answer of a stage.
+/// Reply of a stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// Labels of the step that it answers.
+    /// Labels of the step to which it replies.
     pub label: Label,
     /// The result.
     pub output: Output,
@@ -89,8 +89,8 @@
     pub kv_free_tokens: u64,
     /// Whether the engine is shutting down.
     pub leaving: bool,
-    /// Rises with each start of the engine under one address; 1 from engines
-    /// that do not say.
+    /// Increases with each start of the engine at an address; 1 if the engine
+    /// does not report it.
     #[serde(default = "first_incarnation")]
     pub incarnation: u64,
 }
@@ -100,15 +100,15 @@
 }
 
 quick_error! {
-    /// Why a call to an engine gave no usable answer.
+    /// Why a call to an engine gave no usable reply.
     #[derive(Clone, Debug, PartialEq, Eq)]
-    #[allow(missing_docs)] // The macro takes no comments on fields.
+    #[allow(missing_docs)] // The macro does not accept comments on fields.
     pub enum Failure {
-        /// No connection was made, so nothing ran.
+        /// No connection could be made, so the step did not run.
         Unreachable(reason: String) {
             display("unreachable: {}", reason)
         }
-        /// The connection broke or stayed silent; the step may have run.
+        /// The connection broke or the reply timed out; the step may have run.
         Silent(waited: Duration) {
             display("no answer within {} ms", waited.as_millis())
         }
@@ -120,15 +120,15 @@
         Leaving {
             display("the engine is leaving")
         }
-        /// The engine is full; nothing ran.
+        /// The engine is full; the step did not run.
         Overloaded {
             display("the engine is overloaded")
         }
-        /// The engine refused the step; nothing ran.
+        /// The engine refused the step, which did not run.
         Refused(reason: String) {
             display("refused: {}", reason)
         }
-        /// The answer does not follow the protocol.
+        /// The reply does not follow the protocol.
         Malformed(reason: String) {
             display("malformed answer: {}", reason)
         }
@@ -136,7 +136,7 @@
 }
 
 impl Failure {
-    /// Whether the engine certainly ran nothing.
+    /// Whether it is certain that the engine did not run the step.
     pub const fn not_run(&self) -> bool {
         matches!(
             self,
--- a/mimosashift/src/exchange/mod.rs
+++ b/mimosashift/src/exchange/mod.rs
@@ -1,7 +1,7 @@
-//! What requests and answers say about themselves in their headers.
+//! Metadata of requests and responses, and messages to and from model engines.
 //!
-//! An adapter decodes headers into these types and encodes them again, so
-//! that the rest of the router knows no header by name.
+//! An adapter converts between these types and a platform's headers and bodies,
+//! so that the rest of the router does not depend on their names.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,29 +9,29 @@
 
 use crate::fleet::Hop;
 
-/// Tokens that a request declares.
+/// Token counts declared by a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tokens {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: u32,
-    /// Most tokens that it may write.
+    /// Maximum number of output tokens.
     pub max_output: u32,
-    /// The client's estimate of the tokens that it will write.
+    /// The client's estimate of the number of output tokens.
     pub output_hint: Option<u32>,
 }
 
-/// What a client's request says about itself.
+/// Metadata of a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// Id of the client's attempt.
     pub id: Arc<str>,
-    /// How long the client waits.
+    /// How long the client waits for the response.
     pub timeout: Option<Duration>,
-    /// The key it presents.
+    /// The API key that it presents.
     pub api_key: Option<String>,
-    /// Tokens, of a request for a model.
+    /// Token counts, for requests to a model.
     pub tokens: Option<Tokens>,
-    /// The last event that the client has, when it resumes a stream.
+    /// Id of the last event that the client received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
@@ -39,94 +39,94 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
-/// What the router tells an endpoint about a request.
+/// Metadata that the router sends to an endpoint with a request.
 #[derive(Clone, Debug)]
 pub struct Forward<'a> {
-    /// Time that is left.
+    /// Time until the request's deadline.
     pub remaining: Duration,
-    /// The endpoint that is meant.
+    /// Id of the target endpoint.
     pub endpoint: &'a str,
-    /// The team whose request it is.
+    /// Name of the team that sent the request.
     pub team: Option<&'a str>,
-    /// The chain of layers, the first being the endpoint itself.
+    /// The chain of endpoints, starting with the target endpoint.
     pub chain: &'a [Hop],
-    /// The last event that was delivered, to resume after it.
+    /// Id of the last event delivered to the client, to resume after it.
     pub last_event: Option<u64>,
-    /// Rank at the endpoint, 0 first.
+    /// Priority level at the endpoint, 0 first.
     pub priority: Option<u8>,
 }
 
-/// What an endpoint's answer says about itself.
+/// Metadata of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseInfo {
-    /// Id of the request that it answers.
+    /// Id of the request to which it responds.
     pub id: Option<String>,
-    /// Whether it bears the endpoint's signature.
+    /// Whether it carries the endpoint's signature.
     pub signed: bool,
-    /// Whether it says that the request did not run.
+    /// Whether it states that the request was not executed.
     pub not_run: bool,
-    /// The endpoint of a chain that is at fault.
+    /// The faulty endpoint of a chain.
     pub at_fault: Option<SocketAddr>,
-    /// The endpoint that answered, where it names itself.
+    /// Id of the endpoint that responded, if given.
     pub endpoint: Option<String>,
 }
 
-/// What a model engine reports about itself, some hundred milliseconds late.
+/// State that a model engine reports; it lags by several hundred milliseconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Start that it speaks of, Unix milliseconds.
+    /// Start time in Unix milliseconds, which identifies the engine's start.
     pub incarnation: u64,
     /// Whether an order is being carried out.
     pub busy: bool,
-    /// Orders begun since its start.
+    /// Orders that the engine has begun since its start.
     pub orders_started: u64,
-    /// Requests that wait for a place.
+    /// Requests in the queue.
     pub waiting: u32,
-    /// Requests that run.
+    /// Requests being executed.
     pub running: u32,
-    /// Tokens x layers of KV cache in use.
+    /// KV cache in use, in tokens x layers.
     pub kv_used: f64,
     /// Layers that it holds.
     pub layers: Option<crate::resource::Layers>,
-    /// How many times slower than its card's figures it is.
+    /// Step time relative to the nominal step time of its card.
     pub slowdown: f64,
-    /// Requests that wait for an endpoint of their chain, and which.
+    /// Requests that wait for an endpoint of their chain, with its address.
     pub stalled: Vec<(String, SocketAddr)>,
 }
 
 /// An order to a model engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order<'a> {
-    /// Hold these layers and no others.
+    /// Load these layers and release all others.
     Place {
-        /// The layers.
+        /// Layers to hold.
         layers: crate::resource::Layers,
-        /// Orders that the engine must have begun before this one.
+        /// Number of orders that the engine must have begun before this one.
         after: u64,
         /// Fencing token of the lease under which the order is given.
         fencing_token: u64,
     },
-    /// Move a running request to another chain with the same first part.
+    /// Move a running request to another chain that starts with the same hops.
     Reroute {
         /// Id of the request.
         id: &'a str,
-        /// The chain.
+        /// The new chain.
         chain: &'a [Hop],
     },
 }
 
-/// What became of an order.
+/// Result of sending an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It began or its state holds already.
+    /// Execution began, or the requested state is already in place.
     Taken,
-    /// It was refused.
+    /// The engine refused it.
     Refused {
-        /// Status of the refusal.
+        /// HTTP status of the refusal.
         status: u16,
-        /// The endpoint of a chain that is at fault.
+        /// The faulty endpoint of a chain.
         at_fault: Option<SocketAddr>,
     },
-    /// No answer: it may be carried out now or later.
+    /// No response: the order may be executed now, later or never.
     Unknown,
 }
--- a/mimosashift/src/platform/breaker.rs
+++ b/mimosashift/src/platform/breaker.rs
@@ -1,4 +1,4 @@
-//! Stops calling a platform service while it fails.
+//! Circuit breaker that stops calls to a platform service while it fails.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 /// When a breaker opens and how often it probes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Failures in a row that open the breaker.
+    /// Consecutive failures that open the breaker.
     pub failures: u32,
     /// Shortest time between two probes.
     pub min_pause: Duration,
@@ -48,14 +48,15 @@
         Self { settings, state: State::Closed { failures: 0 } }
     }
 
-    /// Whether calls pass freely.
+    /// Whether calls are allowed without restriction.
     pub const fn is_closed(&self) -> bool {
         matches!(self.state, State::Closed { .. })
     }
 
-    /// Whether a call may be made now; one at a time passes as a probe.
+    /// Whether a call may be made now; while the breaker is open, one call at a
+    /// time is allowed as a probe.
     ///
-    /// A probe that is never reported back is replaced after `max_pause`.
+    /// A probe whose result is not reported is replaced after `max_pause`.
     pub fn admit(&mut self, now: Instant) -> bool {
         let pause = match self.state {
             State::Closed { .. } => return true,
@@ -67,15 +68,16 @@
         true
     }
 
-    /// Reports that an admitted call was answered.
+    /// Reports that an admitted call received a response.
     pub const fn succeeded(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
 
-    /// Reports that an admitted call failed or was not answered.
+    /// Reports that an admitted call failed or received no response.
     ///
-    /// The next probe comes after half to all of a pause that doubles, so
-    /// that the probes of many routers spread out.
+    /// The pause before the next probe doubles with each failed probe and is
+    /// jittered between half and all of its length, so that the probes of many
+    /// routers spread out.
     pub fn failed(&mut self, now: Instant, rng: &mut Pcg64Mcg) {
         let pause = match self.state {
             State::Closed { failures } if failures + 1 < self.settings.failures => {
--- a/mimosashift/src/platform/http.rs
+++ b/mimosashift/src/platform/http.rs
@@ -11,14 +11,14 @@
 use super::{Key, Machines, Outcome, Page, Refusal, Row, Table, Transaction};
 use crate::http::client::{Answer, Call, Client, Failure};
 
-/// Answer to a transaction that took effect.
+/// Response to a transaction that took effect.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Committed {
     /// Revision of its writes.
     pub revision: u64,
 }
 
-/// Answer to a transaction whose check failed.
+/// Response to a transaction whose check failed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Conflict {
     /// The row found, if it exists.
@@ -28,16 +28,16 @@
 /// A virtual machine in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Address of what runs on it.
+    /// Address of the service that runs on it.
     pub address: SocketAddr,
-    /// Whether it is about to be taken away.
+    /// Whether it is about to be shut down.
     pub leaving: bool,
 }
 
-/// The platform's list of virtual machines, which lags behind the truth.
+/// The platform's list of virtual machines, which may be out of date.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
-    /// Rises with every change of the list.
+    /// Increases with every change of the list.
     pub generation: u64,
     /// Live and leaving machines.
     pub vms: Vec<Vm>,
@@ -52,18 +52,18 @@
 }
 
 impl Adapter {
-    /// An adapter that gives every call `timeout`.
+    /// An adapter that applies `timeout` to every call.
     pub fn new(client: Arc<Client>, address: SocketAddr, timeout: Duration) -> Self {
         Self { client, address, timeout }
     }
 
     fn get<T: for<'de> Deserialize<'de>>(&self, path: &str) -> Outcome<T> {
-        let answer = match self.call(Method::GET, path, &[]) {
-            Ok(answer) if answer.status == StatusCode::OK => answer,
-            Ok(answer) => return Outcome::NotDone(refused(&answer)),
+        let response = match self.call(Method::GET, path, &[]) {
+            Ok(response) if response.status == StatusCode::OK => response,
+            Ok(response) => return Outcome::NotDone(refusal(&response)),
             Err(_) => return Outcome::NotDone(Refusal::Unavailable),
         };
-        match serde_json::from_slice(&answer.body) {
+        match serde_json::from_slice(&response.body) {
             Ok(value) => Outcome::Done(value),
             Err(error) => Outcome::NotDone(Refusal::Invalid(error.to_string())),
         }
@@ -84,23 +84,24 @@
 impl Table for Adapter {
     fn commit(&self, transaction: &Transaction) -> Outcome<u64> {
         let body = serde_json::to_vec(transaction).expect("a transaction has only string keys");
-        let answer = match self.call(Method::POST, "/v1/transactions", &body) {
-            Ok(answer) => answer,
+        let response = match self.call(Method::POST, "/v1/transactions", &body) {
+            Ok(response) => response,
             Err(Failure::NotSent { .. }) => return Outcome::NotDone(Refusal::Unavailable),
             Err(Failure::Lost { .. }) => return Outcome::Unknown,
         };
-        match answer.status {
-            StatusCode::OK => match serde_json::from_slice::<Committed>(&answer.body) {
+        match response.status {
+            StatusCode::OK => match serde_json::from_slice::<Committed>(&response.body) {
                 Ok(committed) => Outcome::Done(committed.revision),
                 Err(_) => Outcome::Unknown,
             },
             StatusCode::CONFLICT => {
-                let found = serde_json::from_slice::<Conflict>(&answer.body);
+                let found = serde_json::from_slice::<Conflict>(&response.body);
                 Outcome::NotDone(Refusal::Conflict(found.ok().and_then(|c| c.row)))
             }
-            // Only a refusal that the table service itself makes is certain.
+            // These two come only from the table service itself, so nothing changed. Any
+            // other error may come after the transaction was applied.
             StatusCode::BAD_REQUEST | StatusCode::TOO_MANY_REQUESTS => {
-                Outcome::NotDone(refused(&answer))
+                Outcome::NotDone(refusal(&response))
             }
             _ => Outcome::Unknown,
         }
@@ -117,16 +118,16 @@
     }
 }
 
-/// Percent-encodes whatever may not stand in a path segment or query value.
+/// Percent-encodes everything that is not allowed in a path segment or query value.
 fn escape(text: &str) -> String {
     utf8_percent_encode(text, NON_ALPHANUMERIC).to_string()
 }
 
-fn refused(answer: &Answer) -> Refusal {
-    match answer.status {
+fn refusal(response: &Answer) -> Refusal {
+    match response.status {
         StatusCode::TOO_MANY_REQUESTS => Refusal::OverBudget,
         StatusCode::BAD_REQUEST => {
-            Refusal::Invalid(String::from_utf8_lossy(&answer.body).into_owned())
+            Refusal::Invalid(String::from_utf8_lossy(&response.body).into_owned())
         }
         _ => Refusal::Unavailable,
     }
--- a/mimosashift/src/platform/mod.rs
+++ b/mimosashift/src/platform/mod.rs
@@ -1,8 +1,8 @@
-//! The platform's services as the router uses them.
+//! Interface to the platform's services.
 //!
-//! The traits are the boundary: an adapter turns them into one protocol each,
-//! and tests put small fakes behind them. A call has three outcomes, see
-//! [`Outcome`]; `docs/PLATFORM.md` describes the exchange over HTTP.
+//! An adapter implements the traits for a protocol, and tests implement them with
+//! small fakes. A call has three outcomes, see [`Outcome`]. The protocol over HTTP
+//! is described in `docs/PLATFORM.md`.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,27 +12,28 @@
 pub mod budget;
 pub mod http;
 
-/// How a call that may change something ended.
+/// Result of a call that may have side effects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome<T> {
     /// It took effect.
     Done(T),
     /// It took no effect, for the given reason.
     NotDone(Refusal),
-    /// It may or may not have taken effect: read back before relying on it.
+    /// It may or may not have taken effect: read the state back to find out.
     Unknown,
 }
 
 /// Why a call took no effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// A precondition did not hold; the row found instead, if any.
+    /// A precondition did not hold; holds the row that was found, if any.
     Conflict(Option<Row>),
     /// The platform cannot be reached or is failing.
     Unavailable,
-    /// This router's share of the platform's rate is used up.
+    /// This router's share of the platform's rate limit is used up.
     OverBudget,
-    /// The platform did not understand the call.
+    /// The platform rejected the call as invalid, or its response could not be
+    /// decoded.
     Invalid(String),
 }
 
@@ -48,21 +49,21 @@
 /// A row as read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Where it stands.
+    /// Its key.
     pub key: Key,
-    /// Revision of its last write, unique and rising within the table service.
+    /// Revision of its last write, unique and increasing within the table service.
     pub revision: u64,
-    /// The value, JSON text.
+    /// The value, as JSON text.
     pub value: String,
 }
 
-/// What must hold for a transaction to take effect.
+/// Precondition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Check {
     /// The row does not exist.
     Absent(Key),
-    /// The row's revision is this one.
+    /// The row has this revision.
     Revision(Key, u64),
 }
 
@@ -76,7 +77,7 @@
     Delete(Key),
 }
 
-/// All checks hold and all writes happen, or nothing does.
+/// An atomic change: all writes are applied if all checks hold, and otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
     /// Preconditions.
@@ -85,12 +86,12 @@
     pub writes: Vec<Write>,
 }
 
-/// Part of a table, in key order.
+/// A page of rows, in key order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
     /// The rows.
     pub rows: Vec<Row>,
-    /// Whether more rows follow the last one.
+    /// Whether there are more rows after the last one.
     pub more: bool,
 }
 
@@ -111,6 +112,6 @@
 
 /// The platform's list of virtual machines.
 pub trait Machines: Send + Sync {
-    /// Reads the list; it lags behind the truth.
+    /// Reads the list, which may be out of date.
     fn vms(&self) -> Outcome<VmList>;
 }
--- a/mimosashift/tests/common/deployment.rs
+++ b/mimosashift/tests/common/deployment.rs
@@ -1,6 +1,6 @@
-//! A small deployment: cards, an engine, endpoints.
+//! Fixtures of a small deployment: cards, an engine and endpoints.
 
-#![allow(dead_code)] // Each test program uses a part of it.
+#![allow(dead_code)] // Each test program uses only some of the fixtures.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     Instant::from_millis(ms)
 }
 
-/// An engine of 80 layers on three kinds of cards, as users have them.
+/// An engine of 80 layers on three kinds of cards, with realistic parameters.
 pub fn engine() -> Engine {
     let card = |memory_mb, decode_factor, prefill_factor| Card {
         memory_mb,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The endpoint `number` in a zone, with what it holds.
+/// Endpoint `number` in a zone, holding the layers `held`.
 pub fn endpoint(number: u16, zone: &str, card: &str, held: Option<Layers>) -> Endpoint {
     Endpoint {
         id: format!("e{number}").into(),
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -1,5 +1,5 @@
-//! Small decisions of the router on a platform: routes and keys, the bound on
-//! keys, events, pressure, peers, retries.
+//! Unit tests of the router on a platform: routes and API keys, freshness of keys,
+//! stream events, memory pressure, peers and retries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -48,7 +48,7 @@
     Deployment::new(7, routes, vec![service], vec![(team, vec!["key".into()])], Limits::default())
 }
 
-macro_rules! routes {
+macro_rules! route_tests {
     ($($name:ident: $host:literal $path:literal => $service:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -59,16 +59,16 @@
     )*};
 }
 
-routes! {
+route_tests! {
     longest_prefix_wins: "example" "/a/b/c" => Some("b");
-    prefix_ends_at_a_slash: "example" "/ab" => Some("root");
+    prefix_must_end_at_a_slash: "example" "/ab" => Some("root");
     host_ignores_case_and_port: "EXAMPLE:80" "/a/x" => Some("a");
-    prefix_itself_is_served: "example" "/a/b/" => Some("b");
+    prefix_itself_is_routed: "example" "/a/b/" => Some("b");
     unknown_host_has_no_route: "other" "/a/" => None;
 }
 
 #[test]
-fn key_names_its_team_and_public_routes_need_none() {
+fn key_identifies_its_team_and_public_routes_need_no_key() {
     let deployment = deployment();
     let private = deployment.route("example", "/a/").unwrap();
     let public = deployment.route("example", "/").unwrap();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn weights_divide_the_draws() {
+fn requests_are_split_by_weight() {
     let mut split = route("/", "x", true);
     split.targets = [("one".into(), 3), ("two".into(), 1)].into_iter().collect();
     let two = (0..1_000).filter(|n| &**split.target(f64::from(*n) / 1_000.0) == "two").count();
@@ -87,29 +87,29 @@
 }
 
 #[test]
-fn key_is_used_within_the_bound_after_a_reading_began() {
-    let mut currency = Freshness::default();
-    assert!(!currency.is_fresh(5 * S, at(0)));
-    currency.confirm(at(1_000));
-    assert!(currency.is_fresh(5 * S, at(5_700)));
-    assert!(!currency.is_fresh(5 * S, at(5_750)));
-    currency.confirm(at(500));
+fn keys_are_fresh_within_the_bound_after_a_read_began() {
+    let mut freshness = Freshness::default();
+    assert!(!freshness.is_fresh(5 * S, at(0)));
+    freshness.confirm(at(1_000));
+    assert!(freshness.is_fresh(5 * S, at(5_700)));
+    assert!(!freshness.is_fresh(5 * S, at(5_750)));
+    freshness.confirm(at(500));
     assert_eq!(
-        currency.age(at(1_000)),
+        freshness.age(at(1_000)),
         Some(Duration::ZERO),
-        "an earlier reading takes nothing away"
+        "an earlier read does not increase the age"
     );
 }
 
 #[test]
-fn relayed_confirmation_counts_from_before_it_was_asked_for() {
-    let mut currency = Freshness::default();
+fn age_of_a_relayed_confirmation_counts_from_its_request() {
+    let mut freshness = Freshness::default();
     let relayed = PeerConfirmation { request_sent: at(2_000), revision: 7, age: 300 * S / 1_000 };
-    assert!(!currency.confirm_from_peer(&relayed, 6), "the peer holds a newer revision");
-    assert_eq!(currency.age(at(2_000)), None);
-    // However long the answer took, the age counts from the question.
-    assert!(currency.confirm_from_peer(&relayed, 7));
-    assert_eq!(currency.age(at(9_000)), Some(Duration::from_millis(7_300)));
+    assert!(!freshness.confirm_from_peer(&relayed, 6), "the peer holds a newer revision");
+    assert_eq!(freshness.age(at(2_000)), None);
+    // The age counts from the request, however long the response took.
+    assert!(freshness.confirm_from_peer(&relayed, 7));
+    assert_eq!(freshness.age(at(9_000)), Some(Duration::from_millis(7_300)));
 }
 
 fn event(id: u64) -> String {
@@ -117,22 +117,22 @@
 }
 
 #[test]
-fn events_are_passed_on_whole_and_once() {
+fn events_are_forwarded_complete_and_once() {
     let mut events = Events::after(None);
     let stream: String = (1..=3).map(event).collect();
     let cut = stream.len() - 5;
     let first = events.push(&stream.as_bytes()[..cut]).unwrap();
     assert_eq!((first.count, events.last()), (2, Some(2)));
     events.restart();
-    // The next endpoint repeats an event and goes on.
-    let again: String = (2..=4).map(event).collect();
-    let next = events.push(again.as_bytes()).unwrap();
+    // The next endpoint repeats an event and continues.
+    let resumed: String = (2..=4).map(event).collect();
+    let next = events.push(resumed.as_bytes()).unwrap();
     assert_eq!(String::from_utf8(next.bytes).unwrap(), event(3) + &event(4));
     assert!(!events.is_partial());
 }
 
 #[test]
-fn events_that_the_client_has_are_left_out() {
+fn events_that_the_client_has_received_are_dropped() {
     let mut events = Events::after(Some(2));
     let stream: String = (1..=3).map(event).collect();
     assert_eq!(events.push(stream.as_bytes()).unwrap().bytes, event(3).into_bytes());
@@ -141,47 +141,47 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However a stream is cut into pieces and broken off, the client gets
-    /// every event once.
+    /// However a stream is split into chunks and interrupted, the client receives
+    /// every event exactly once.
     #[test]
-    fn resumed_streams_lose_and_repeat_nothing(
+    fn resumed_streams_neither_lose_nor_repeat_events(
         total in 1..40_u64,
-        breaks in prop::collection::vec((0..600_usize, 1..50_usize), 0..4),
+        interruptions in prop::collection::vec((0..600_usize, 1..50_usize), 0..4),
     ) {
         let mut events = Events::after(None);
-        let mut got = Vec::new();
-        let mut feed = |events: &mut Events, upto: Option<usize>, piece: usize| {
+        let mut received = Vec::new();
+        let mut feed = |events: &mut Events, end: Option<usize>, chunk_size: usize| {
             let from = events.last().map_or(1, |last| last + 1);
             let rest: String = (from..=total).map(event).collect();
-            let upto = upto.unwrap_or(rest.len()).min(rest.len());
-            for part in rest.as_bytes()[..upto].chunks(piece) {
-                got.extend(events.push(part).unwrap().bytes);
+            let end = end.unwrap_or(rest.len()).min(rest.len());
+            for chunk in rest.as_bytes()[..end].chunks(chunk_size) {
+                received.extend(events.push(chunk).unwrap().bytes);
             }
             events.restart();
         };
-        for (upto, piece) in breaks {
-            feed(&mut events, Some(upto), piece);
+        for (end, chunk_size) in interruptions {
+            feed(&mut events, Some(end), chunk_size);
         }
         feed(&mut events, None, 7);
-        let whole: String = (1..=total).map(event).collect();
-        prop_assert_eq!(String::from_utf8(got).unwrap(), whole);
+        let expected: String = (1..=total).map(event).collect();
+        prop_assert_eq!(String::from_utf8(received).unwrap(), expected);
     }
 }
 
 #[test]
-fn only_as_many_wait_as_are_served_in_time() {
+fn only_requests_that_can_be_served_in_time_may_wait() {
     let mut pressure = MemoryPressure::default();
     for ms in 0..2_000 {
         pressure.record_admitted(at(ms));
     }
-    // 1,000 a second were admitted, of which some are forgotten.
+    // 1,000 requests per second were admitted, but older ones no longer count.
     let waiting = (0..1_000).filter(|_| pressure.begin_wait(at(2_000))).count();
     let served = 1_000.0 * MAX_WAIT.as_secs_f64();
     assert!((waiting as f64) < served && (waiting as f64) > served / 2.0, "{waiting}");
 }
 
 #[test]
-fn some_may_wait_though_nothing_was_admitted() {
+fn some_requests_may_wait_when_none_was_admitted() {
     let mut pressure = MemoryPressure::default();
     assert!(pressure.begin_wait(at(0)) && pressure.begin_wait(at(0)));
     assert!(!pressure.begin_wait(at(0)));
@@ -190,19 +190,19 @@
 }
 
 #[test]
-fn refused_clients_come_back_the_later_the_more_are_refused() {
-    let mut calm = MemoryPressure::default();
-    calm.record_refused(at(0));
+fn retry_delay_grows_with_the_share_of_refused_requests() {
+    let mut low = MemoryPressure::default();
+    low.record_refused(at(0));
     for _ in 0..99 {
-        calm.record_admitted(at(0));
+        low.record_admitted(at(0));
     }
-    let mut pressed = MemoryPressure::default();
+    let mut high = MemoryPressure::default();
     for _ in 0..100 {
-        pressed.record_refused(at(0));
+        high.record_refused(at(0));
     }
-    assert!(calm.retry_after(0.5) < 300 * S / 1_000);
-    assert!(pressed.retry_after(0.5) > 2 * S);
-    assert!(pressed.retry_after(0.9) > pressed.retry_after(0.1));
+    assert!(low.retry_after(0.5) < 300 * S / 1_000);
+    assert!(high.retry_after(0.5) > 2 * S);
+    assert!(high.retry_after(0.9) > high.retry_after(0.1));
 }
 
 fn digest(node: &str, incarnation: u64, sequence: u64) -> Digest {
@@ -235,23 +235,23 @@
 }
 
 #[test]
-fn seeds_are_greeted_and_answers_make_peers() {
+fn seeds_are_contacted_and_become_peers_when_they_respond() {
     let mut peers = peers();
     assert_eq!(peers.due(at(0)), [(address(2), None)]);
     assert_eq!(peers.due(at(50)), [], "not before the interval is over");
-    let mut heard = digest("r2", 1, 1);
-    heard.stamp = at(40);
-    heard.peers = vec![address(3)];
-    assert_eq!(peers.hear(address(2), heard, at(60)), Event::Joined);
+    let mut received = digest("r2", 1, 1);
+    received.stamp = at(40);
+    received.peers = vec![address(3)];
+    assert_eq!(peers.hear(address(2), received, at(60)), Event::Joined);
     assert!(peers.is_alive("r2", at(60)));
-    // The peer's stamp goes back to it; what it knows is greeted as well.
+    // The peer's stamp is echoed to it, and the peers that it lists are contacted.
     let due: Vec<_> = (0..4).flat_map(|n| peers.due(at(500 + n * 400))).collect();
     assert!(due.contains(&(address(2), Some(at(40)))), "{due:?}");
     assert!(due.contains(&(address(3), None)), "{due:?}");
 }
 
 #[test]
-fn late_and_old_digests_are_not_taken_in() {
+fn outdated_digests_are_ignored() {
     let mut peers = peers();
     assert_eq!(peers.hear(address(2), digest("r2", 2, 5), at(0)), Event::Joined);
     assert_eq!(peers.hear(address(2), digest("r2", 2, 4), at(1)), Event::Outdated);
@@ -271,10 +271,10 @@
     assert!(!peers.is_alive("r2", at(1_700)));
 }
 
-#[test_case("r1", 0 => None; "first by name reads itself")]
-#[test_case("r3", 0 => Some("r2".to_owned()); "others rely on the first")]
-#[test_case("r3", 800 => None; "not on one that fell silent")]
-fn one_router_of_a_zone_reads(node: &str, ms: u64) -> Option<String> {
+#[test_case("r1", 0 => None; "first router by name reads the store itself")]
+#[test_case("r3", 0 => Some("r2".to_owned()); "others rely on the first router")]
+#[test_case("r3", 800 => None; "not on a router that stopped responding")]
+fn one_router_of_a_zone_reads_the_store(node: &str, ms: u64) -> Option<String> {
     let mut peers = peers();
     peers.hear(address(2), digest("r2", 1, 1), at(0));
     let far = Digest { zone: "b".into(), ..digest("r0", 1, 1) };
@@ -282,13 +282,13 @@
     peers.reader(node, at(ms)).map(|peer| peer.digest.node.to_string())
 }
 
-/// A leader that the store turns away is passed over, but only where another
-/// router reaches the store.
-#[test_case(true, 3_000, true => true; "turned away")]
-#[test_case(false, 3_000, true => false; "it only has not asked")]
-#[test_case(true, 1_000, true => false; "not for long")]
-#[test_case(true, 3_000, false => false; "nobody reaches it")]
-fn router_without_the_store_is_known(lost: bool, age_ms: u64, other: bool) -> bool {
+/// A leader that the store rejects is skipped, but only if another router can
+/// reach the store.
+#[test_case(true, 3_000, true => true; "rejected by the store")]
+#[test_case(false, 3_000, true => false; "has only not called the store")]
+#[test_case(true, 1_000, true => false; "lost the store only recently")]
+#[test_case(true, 3_000, false => false; "no router reaches the store")]
+fn router_that_lost_the_store_is_detected(lost: bool, age_ms: u64, other: bool) -> bool {
     let mut peers = peers();
     let store_age = Some(Duration::from_millis(age_ms));
     let leader = Digest { store_lost: lost, store_age, ..digest("r2", 1, 1) };
@@ -301,21 +301,21 @@
 #[test]
 fn confirmation_needs_an_echo() {
     let config = Some(Config { revision: 7, age: Some(S) });
-    let mut told = Digest { config, ..digest("r2", 1, 1) };
-    assert_eq!(told.relayed(), None);
-    told.echo = Some(at(500));
+    let mut digest = Digest { config, ..digest("r2", 1, 1) };
+    assert_eq!(digest.relayed(), None);
+    digest.echo = Some(at(500));
     assert_eq!(
-        told.relayed(),
+        digest.relayed(),
         Some(PeerConfirmation { request_sent: at(500), revision: 7, age: S })
     );
 }
 
-/// Retries in any window stay within the ratio and the extra ones, also when
-/// every router has spent all and starts anew.
+/// Retries in any window stay within the ratio plus the extra retries, even if
+/// every router has used up its budget and restarts.
 #[test]
-fn retries_of_all_routers_stay_within_the_bound() {
+fn retries_of_all_routers_stay_within_the_limit() {
     let (ratio, extra, routers, window) = (0.2, 200.0, 4_usize, 10_000);
-    let bound = WindowLimits {
+    let limits = WindowLimits {
         length: Duration::from_millis(window),
         per_request: ratio,
         extra: extra / routers as f64,
@@ -329,8 +329,8 @@
         }
         windows[router].on_request(at(ms));
         requests.push(ms);
-        // Quiet for 20 s, then every request is tried again and again.
-        while ms > 20_000 && windows[router].take(&bound, at(ms)) {
+        // No retries for 20 s, then each request is retried until refused.
+        while ms > 20_000 && windows[router].take(&limits, at(ms)) {
             retries.push(ms);
         }
     }
@@ -340,7 +340,7 @@
         let allowed = ratio * within(&requests) as f64 + extra;
         assert!(within(&retries) as f64 <= allowed, "{} at {start}", within(&retries));
     }
-    // Most of what a window allows can go at once, when it is needed.
+    // Most retries of a window can be made at once if needed.
     let at_once = retries.iter().filter(|t| (20_000..20_500).contains(*t)).count();
     assert!(at_once as f64 >= 0.5 * (ratio * 500.0 + extra), "{at_once}");
 }
