--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -9,7 +9,7 @@
 use mimosashift::deployment::Engine;
 use mimosashift::emit;
 use mimosashift::event::Event;
-use mimosashift::exchange::{Order, Ordered, Report};
+use mimosashift::exchange::{Order, OrderOutcome, Report};
 use mimosashift::fleet::{Hop, Member};
 use mimosashift::layout::{self, Assignment, EndpointState};
 use mimosashift::meter::PlatformCall;
@@ -222,7 +222,7 @@
             self.pending.remove(&hop.id);
         } else if !report.busy && now.since(pending.last_sent) > ORDER_REPEAT_DELAY {
             pending.last_sent = now;
-            self.send_order(hop, report.orders).await;
+            self.send_order(hop, report.orders_started).await;
         }
     }
 
@@ -315,29 +315,29 @@
             first_sent: now,
         };
         self.pending.insert(hop.id.clone(), pending);
-        self.send_order(&hop, report.orders).await;
+        self.send_order(&hop, report.orders_started).await;
     }
 
     async fn send_order(&mut self, hop: &Hop, after: u64) {
         let authority = self.lease.as_ref().and_then(|l| l.authorize(true, clock::now()));
         let Some(token) = authority else { return };
         let order = Order::Place { layers: hop.layers, after, fencing_token: token.0 };
-        let call = wire::order_call(hop.address, &hop.id, &order);
+        let call = wire::order_request(hop.address, &hop.id, &order);
         let state = self.state.clone();
         state.meter.orders(1);
         emit!(state.log, Event::OrderSent, "endpoint" => &*hop.id, "layers" => hop.layers.to_string(), "after" => after, "fencing_token" => token.0);
         let response = async {
             let mut exchange = state.pool.send(hop.address, call, false).await.ok()?;
             let body = exchange.collect(64 * 1024).await.ok()?;
-            Some(wire::ordered(exchange.head.status(), &body))
+            Some(wire::order_outcome(exchange.head.status(), &body))
         };
         match timeout(ORDER_TIMEOUT, response).await.ok().flatten() {
-            Some(Ordered::Taken) => {}
-            Some(Ordered::Refused { status, .. }) => {
+            Some(OrderOutcome::Taken) => {}
+            Some(OrderOutcome::Refused { status, .. }) => {
                 emit!(state.log, Event::OrderRefused, "endpoint" => &*hop.id, "status" => status);
                 self.pending.remove(&hop.id);
             }
-            Some(Ordered::Unknown) | None => {
+            Some(OrderOutcome::Unknown) | None => {
                 emit!(state.log, Event::OrderUnknown, "endpoint" => &*hop.id);
             }
         }
--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -131,7 +131,7 @@
 
 impl Session {
     fn new(ctx: RequestContext, engine: Arc<Engine>) -> Self {
-        let usual = engine.usual;
+        let usual = engine.typical_request;
         let demand = match ctx.tokens {
             None => Demand { prompt: usual.prompt, output: usual.output },
             Some(tokens) => {
@@ -405,7 +405,7 @@
         exchange: Exchange,
     ) -> Result<Exchange, &'static str> {
         let status = exchange.head.status();
-        let info = header::answer(exchange.head.headers());
+        let info = header::response(exchange.head.headers());
         if !self.ctx.is_answered_by(&info, status) {
             self.state().pool.forget(first.address);
             self.may_have_run += 1;
@@ -452,8 +452,8 @@
 
     /// The demand of the rest of the request.
     fn remaining_demand(&self) -> Demand {
-        let generated = self.events_forwarded as f64 * f64::from(self.engine.stride);
-        let output = (self.demand.output - generated).max(f64::from(self.engine.stride));
+        let generated = self.events_forwarded as f64 * f64::from(self.engine.tokens_per_event);
+        let output = (self.demand.output - generated).max(f64::from(self.engine.tokens_per_event));
         Demand { prompt: self.demand.prompt + generated, output }
     }
 
--- a/mimosashift/src/fleet/chain.rs
+++ b/mimosashift/src/fleet/chain.rs
@@ -163,17 +163,18 @@
         let layers = member.endpoint.layers?;
         let card = engine.card(&member.endpoint)?;
         let layer_count = f64::from(engine.layers);
-        let capacity = engine.capacity(card, layers.count());
+        let capacity = engine.kv_capacity(card, layers.count());
         let usage = member.usage();
         let fill = (f64::from(usage.cache) / capacity.max(1.0)).min(MAX_COST_FILL);
         let is_cache_full = now < member.cache_full_until;
         let usable = if is_cache_full { 0.0 } else { capacity * USABLE_CACHE_SHARE };
         let free = (usable - f64::from(usage.cache)).max(0.0);
-        let read_ms = card.read_factor / engine.read_per_ms * member.pace;
-        let step_ms = engine.step_ms * card.pace * member.pace;
+        let read_ms = card.prefill_factor / engine.prefill_tokens_per_ms * member.pace;
+        let step_ms = engine.step_ms * card.decode_factor * member.pace;
         let work_ms = demand.prompt * read_ms + demand.output * step_ms;
-        let pass_ms = f64::from(engine.stride) * step_ms * f64::from(layers.count()) / layer_count;
-        let passes = demand.output / f64::from(engine.stride);
+        let pass_ms =
+            f64::from(engine.tokens_per_event) * step_ms * f64::from(layers.count()) / layer_count;
+        let passes = demand.output / f64::from(engine.tokens_per_event);
         Some(Self {
             member,
             layers,
@@ -321,8 +322,8 @@
     fn cross_zone_ms(&self, from: &str, to: &str) -> f64 {
         let tokens = self.query.demand.prompt + self.query.demand.output;
         let bytes = tokens * self.query.engine.activation_bytes;
-        let transfer_ms = if self.query.engine.pipe_per_ms > 0.0 {
-            bytes / self.query.engine.pipe_per_ms
+        let transfer_ms = if self.query.engine.link_bytes_per_ms > 0.0 {
+            bytes / self.query.engine.link_bytes_per_ms
         } else {
             0.0
         };
