--- a/mimosashift/src/event/log.rs
+++ b/mimosashift/src/event/log.rs
@@ -1,4 +1,4 @@
-//! Writes events to a stream, from a thread of its own.
+//! Writes events to a stream on a dedicated thread.
 
 use std::io::{self, Write};
 
@@ -10,40 +10,40 @@
 
 pub use slog::Logger;
 
-/// Flushes the events still queued when it is dropped; keep it until the end.
+/// Flushes the queued events when dropped; hold it until the process exits.
 pub type Guard = slog_async::AsyncGuard;
 
-/// Events held while the stream is slow; further ones are dropped and counted.
+/// Events queued while the stream is slow; further ones are dropped and counted.
 const QUEUE_EVENTS: usize = 4_096;
 
-/// A logger to the standard error stream.
+/// Creates a logger that writes to standard error.
 pub fn logger(settings: &Log) -> (Logger, Guard) {
     logger_to(settings, io::stderr())
 }
 
-/// A logger to any stream.
+/// Creates a logger that writes to `stream`.
 ///
-/// A caller never waits for the stream: a full queue drops events and reports
-/// how many.
+/// Logging never blocks on the stream: when the queue is full, events are
+/// dropped and their number is reported.
 pub fn logger_to<W: Write + Send + 'static>(settings: &Log, stream: W) -> (Logger, Guard) {
     match settings.form {
         Form::Terminal => {
             let decorator = slog_term::PlainSyncDecorator::new(stream);
             let format = slog_term::FullFormat::new(decorator);
-            queued(settings, format.use_utc_timestamp().use_original_order().build().fuse())
+            async_logger(settings, format.use_utc_timestamp().use_original_order().build().fuse())
         }
-        Form::Json => queued(settings, slog_json::Json::default(stream).fuse()),
+        Form::Json => async_logger(settings, slog_json::Json::default(stream).fuse()),
     }
 }
 
-/// Logs an event; use [`emit!`](crate::emit), which adds the event's id.
+/// Logs an event; [`emit!`](crate::emit) calls it and adds the event's id.
 pub fn write(logger: &Logger, event: Event, details: BorrowedKV<'_>) {
     let location = RecordLocation { file: "", line: 0, column: 0, function: "", module: "" };
-    let head = RecordStatic { location: &location, tag: event.id(), level: event.level() };
-    logger.log(&Record::new(&head, &format_args!("{}", event.message()), details));
+    let static_part = RecordStatic { location: &location, tag: event.id(), level: event.level() };
+    logger.log(&Record::new(&static_part, &format_args!("{}", event.message()), details));
 }
 
-fn queued<D>(settings: &Log, drain: D) -> (Logger, Guard)
+fn async_logger<D>(settings: &Log, drain: D) -> (Logger, Guard)
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
--- a/mimosashift/src/event/mod.rs
+++ b/mimosashift/src/event/mod.rs
@@ -1,7 +1,7 @@
-//! Numbered log events, declared once with their level, message and meaning.
+//! Log events with stable ids, each declared with its level, message and meaning.
 //!
-//! `docs/EVENTS.md` is the operators' catalogue; a test holds it and the table
-//! below together.
+//! `docs/EVENTS.md` documents them for operators; a test checks that it matches
+//! the table in this module.
 
 mod log;
 mod table;
@@ -14,7 +14,7 @@
 
 /// Logs an event with its details: `emit!(log, Event::NodeReady, "revision" => 7)`.
 ///
-/// A detail's key must not be `event`, which carries the event's id.
+/// The key `event` is reserved for the event's id.
 #[macro_export]
 macro_rules! emit {
     ($logger:expr, $event:expr $(, $key:literal => $value:expr)* $(,)?) => {
@@ -26,5 +26,5 @@
     };
 }
 
-/// The details of an event, see [`emit!`].
+/// Builds the key-value pairs of an event; see [`emit!`].
 pub use slog::b as details;
--- a/mimosashift/src/event/table.rs
+++ b/mimosashift/src/event/table.rs
@@ -1,26 +1,26 @@
-//! The table of events.
+//! Declarations of all events.
 
 use slog::Level;
 
-/// Declares the events: variant, id, level, message, meaning.
+/// Declares the events, each with variant, id, level, message and meaning.
 macro_rules! events {
     ($($event:ident $id:literal $level:ident $message:literal, $meaning:literal;)*) => {
-        /// What happened; `docs/EVENTS.md` says what an operator does about it.
+        /// An event to log; `docs/EVENTS.md` says how an operator responds to it.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Event {
             $(#[doc = $meaning] $event,)*
         }
 
         impl Event {
-            /// Every event, in order of id.
+            /// Every event, sorted by id.
             pub const ALL: &[Self] = &[$(Self::$event,)*];
 
-            /// The id, stable over releases, for example `MS0101`.
+            /// The id, for example `MS0101`; it does not change between releases.
             pub const fn id(self) -> &'static str {
                 match self { $(Self::$event => $id,)* }
             }
 
-            /// The level at which it is logged.
+            /// The level at which the event is logged.
             pub const fn level(self) -> Level {
                 match self { $(Self::$event => Level::$level,)* }
             }
@@ -30,7 +30,7 @@
                 match self { $(Self::$event => $message,)* }
             }
 
-            /// What it tells the operator, as in the catalogue.
+            /// The explanation for operators, as in `docs/EVENTS.md`.
             pub const fn meaning(self) -> &'static str {
                 match self { $(Self::$event => $meaning,)* }
             }
@@ -41,18 +41,18 @@
 events! {
     NodeStarted "MS0101" Info "node started", "The router started and is fetching its configuration.";
     NodeReady "MS0102" Info "node ready", "The router has a configuration and accepts requests.";
-    NodeDraining "MS0103" Info "node draining", "The router reports not ready and finishes what it has accepted.";
+    NodeDraining "MS0103" Info "node draining", "The router reports not ready and finishes the requests that it has accepted.";
     NodeStopped "MS0104" Info "node stopped", "The router stopped; `cut_off` counts requests that it could not finish.";
     NodeCutOff "MS0105" Error "requests cut off at shutdown", "The drain time ended before all requests were answered.";
-    NodeFault "MS0106" Critical "broken invariant", "A worker stopped on a state that the code rules out.";
+    NodeFault "MS0106" Critical "invariant violated", "A worker stopped because it reached a state that must not occur.";
     FrontStarted "MS0111" Info "router started", "The event loop started and is fetching its configuration.";
-    FrontReady "MS0112" Info "router ready", "The router reports ready: it has a configuration in which keys may be used.";
+    FrontReady "MS0112" Info "router ready", "The router reports ready: it has a configuration in which API keys may be used.";
     FrontNotReady "MS0113" Warning "router not ready", "The router reports not ready, for the given reason.";
     FrontStopping "MS0114" Info "router stopping", "SIGTERM arrived; requests in flight are finished.";
-    FrontStopped "MS0115" Info "router stopped", "The router ended; `cut_off` counts requests that it could not finish.";
+    FrontStopped "MS0115" Info "router stopped", "The router stopped; `cut_off` counts requests that it could not finish.";
     SettingsReloaded "MS0116" Info "settings reloaded", "The settings file changed and the new settings are in force.";
     SettingsInvalid "MS0117" Error "settings invalid", "The settings file changed and cannot be used; the earlier settings stay in force.";
-    MetricsUnavailable "MS0118" Error "metrics unavailable", "The address of the metrics cannot be listened on.";
+    MetricsUnavailable "MS0118" Error "metrics unavailable", "The router cannot listen on the metrics address.";
 
     HttpListening "MS0201" Info "listening", "A caller or operator address is open.";
     HttpMalformed "MS0202" Debug "malformed request", "A request did not follow HTTP or the API and was refused.";
@@ -61,70 +61,70 @@
     HttpConnectionLimit "MS0205" Warning "connection limit reached", "New connections wait because the limit is reached.";
 
     ConfigInstalled "MS0301" Info "configuration installed", "A higher configuration revision is in force on this router.";
-    ConfigOlder "MS0302" Critical "older configuration revision seen", "The table answered with a revision lower than the one in force; it was not followed.";
+    ConfigOlder "MS0302" Critical "older configuration revision seen", "The table answered with a revision lower than the one in force; it was ignored.";
     ConfigDiffers "MS0303" Critical "equal configuration revision differs", "Two sources hold different content under one revision.";
     ConfigAccepted "MS0304" Info "configuration change accepted", "A change was committed and recorded in the audit trail.";
     ConfigRefused "MS0305" Info "configuration change refused", "A change was not committed and has no effect.";
     ConfigUnknown "MS0306" Warning "configuration change unknown", "The table's answer was lost and the change could not be read back.";
     ConfigStale "MS0307" Warning "configuration stale", "The configuration source has not been reached for a while; the installed revision stays in force.";
 
-    MemberJoined "MS0401" Info "member joined", "A heartbeat of a new router arrived.";
+    MemberJoined "MS0401" Info "member joined", "The first heartbeat of a new router arrived.";
     MemberSuspect "MS0402" Warning "member suspect", "Heartbeats of a router are overdue.";
-    MemberDead "MS0403" Error "member dead", "A router has been silent too long and is no longer counted.";
+    MemberDead "MS0403" Error "member dead", "No heartbeat of a router arrived within the time limit, and it is no longer counted.";
     MemberLeaving "MS0404" Info "member leaving", "A router announced its shutdown.";
     MemberRestarted "MS0405" Info "member restarted", "A router returned with a higher incarnation number.";
     MemberUnauthenticated "MS0406" Warning "bad authentication", "A datagram or frame carried no valid authentication code.";
     MemberReplayed "MS0407" Warning "replayed message", "A message repeated an earlier sequence number and was dropped.";
-    MemberUnreachable "MS0408" Info "peer unreachable", "A peer could not be sent to or did not hand over its configuration.";
-    MemberUnreadable "MS0409" Warning "unreadable digest", "A datagram is no digest of a router of this version.";
-
-    EndpointEjected "MS0501" Warning "endpoint ejected", "An endpoint failed too often and gets no new work.";
-    EndpointReturned "MS0502" Info "endpoint returned", "An ejected endpoint answers again and gets work step by step.";
-    EndpointLeaving "MS0503" Info "endpoint leaving", "An endpoint is shutting down and gets no new work.";
-    EndpointRecovered "MS0504" Info "endpoint recovered", "A returned endpoint gets its full share of work.";
-    EndpointSilent "MS0505" Warning "silent connections retired", "A connection went silent, and all of its age to that endpoint were closed.";
+    MemberUnreachable "MS0408" Info "peer unreachable", "Sending to a peer failed, or the peer did not return its configuration.";
+    MemberUnreadable "MS0409" Warning "unreadable digest", "A datagram cannot be decoded as a digest of this version.";
+
+    EndpointEjected "MS0501" Warning "endpoint ejected", "An endpoint failed too often and receives no new work.";
+    EndpointReturned "MS0502" Info "endpoint returned", "An ejected endpoint answers again and receives a growing share of work.";
+    EndpointLeaving "MS0503" Info "endpoint leaving", "An endpoint is shutting down and receives no new work.";
+    EndpointRecovered "MS0504" Info "endpoint recovered", "A returned endpoint receives its full share of work.";
+    EndpointSilent "MS0505" Warning "silent connections retired", "A connection stopped responding, and all connections of the same age to that endpoint were closed.";
     EndpointEjectionCapped "MS0506" Error "ejection cap reached", "An endpoint stays in use because too many others are ejected.";
-    EndpointJoined "MS0511" Info "endpoint joined", "An endpoint registered or started anew.";
-    EndpointGone "MS0512" Warning "endpoint gone", "An endpoint's entry is gone.";
-    EndpointUnreadable "MS0513" Warning "endpoint entry unreadable", "An entry in the directory cannot be decoded and names no endpoint to use.";
-    EndpointPlaced "MS0514" Info "endpoint holds other layers", "The layers that an endpoint holds changed.";
-    EndpointDoubted "MS0515" Warning "endpoint doubted", "An endpoint failed and is left out for a while.";
-    ReportMissing "MS0516" Info "report missing", "An engine gave no report when it was asked for its pace.";
-    EndpointCrowded "MS0517" Info "endpoint crowded", "An endpoint refused work that it has no memory for, or that it cannot begin.";
+    EndpointJoined "MS0511" Info "endpoint joined", "An endpoint registered or restarted.";
+    EndpointGone "MS0512" Warning "endpoint gone", "The directory no longer lists an endpoint.";
+    EndpointUnreadable "MS0513" Warning "endpoint entry unreadable", "A directory entry cannot be decoded and is ignored.";
+    EndpointPlaced "MS0514" Info "endpoint layers changed", "The layers that an endpoint holds changed.";
+    EndpointDoubted "MS0515" Warning "endpoint suspect", "An endpoint failed and is excluded from routing for a while.";
+    ReportMissing "MS0516" Info "report missing", "An engine did not answer a request for its speed report.";
+    EndpointCrowded "MS0517" Info "endpoint overloaded", "An endpoint refused work because it has no memory for it or cannot start it.";
 
     StageMoved "MS0601" Warning "stage moved", "A request lost a stage and continued on another endpoint.";
     RequestRefused "MS0602" Info "request refused", "A request was refused before any of it ran.";
-    RequestShed "MS0603" Warning "request shed", "A queued request was dropped, not run, to make room.";
-    RequestGaveUp "MS0604" Error "request gave up", "A request failed after its retries or deadline were used up.";
-    RequestCutShort "MS0605" Warning "request cut short", "The caller went away, and the rest of the work was cancelled.";
+    RequestShed "MS0603" Warning "request shed", "A queued request was dropped before it ran, to make room.";
+    RequestGaveUp "MS0604" Error "request failed", "A request failed after its retries or deadline were used up.";
+    RequestCutShort "MS0605" Warning "request cancelled", "The caller disconnected, and the rest of the work was cancelled.";
     ReplyDropped "MS0606" Debug "reply dropped", "A reply was late, duplicate or for another step and was not used.";
-    RetryBudgetExhausted "MS0607" Warning "retry budget exhausted", "Failures exceed what retries may add to the load.";
+    RetryBudgetExhausted "MS0607" Warning "retry budget exhausted", "More requests failed than the retry budget allows to be sent again.";
     RequestSent "MS0611" Info "request sent", "A request was sent to an endpoint.";
-    RequestAnswered "MS0612" Info "request answered", "An endpoint's answer was passed on whole.";
-    RequestRetried "MS0613" Info "request retried", "A request goes to another endpoint.";
+    RequestAnswered "MS0612" Info "request answered", "The complete response of an endpoint was forwarded.";
+    RequestRetried "MS0613" Info "request retried", "A request is sent to another endpoint.";
     RequestMoved "MS0614" Warning "request moved", "A running request was moved to another chain.";
     RequestDenied "MS0615" Info "request denied", "A request was not allowed or not valid and was answered with a client error.";
-    RequestExamined "MS0616" Info "request examined", "A request made no progress, and the endpoints of its chain were asked for reports.";
-    LayerShort "MS0617" Info "layer short", "No endpoint that holds a layer has memory for a request.";
+    RequestExamined "MS0616" Info "request stalled", "A request made no progress, and the endpoints of its chain were asked for reports.";
+    LayerShort "MS0617" Info "layer shortage", "No endpoint that holds a layer has memory for a request.";
 
     PostingClaimed "MS0701" Debug "posting claimed", "The idempotency key of a posting was claimed.";
     PostingRecorded "MS0702" Debug "posting recorded", "The outcome of a posting was recorded.";
-    PostingUnknown "MS0703" Error "posting unknown", "It cannot be told whether a posting ran.";
+    PostingUnknown "MS0703" Error "posting unknown", "It is not known whether a posting ran.";
     PostingWithdrawn "MS0704" Info "posting withdrawn", "A claim was withdrawn because nothing had been sent.";
     PostingMismatch "MS0705" Warning "posting mismatch", "An idempotency key was used again with a different request.";
 
-    LeaseTaken "MS0801" Info "lease taken", "This router holds the lease of a group of endpoints.";
+    LeaseTaken "MS0801" Info "lease acquired", "This router holds the lease of a group of endpoints.";
     LeaseLost "MS0802" Warning "lease lost", "This router no longer holds a lease and sends no more orders for it.";
     OrderSent "MS0803" Info "order sent", "An order was sent to an endpoint.";
-    OrderObserved "MS0804" Info "order observed", "The endpoint reports the state that was ordered.";
+    OrderObserved "MS0804" Info "order observed", "The endpoint reports the ordered state.";
     OrderRefused "MS0805" Warning "order refused", "An endpoint refused an order, for example for an old fencing number.";
-    OrderUnknown "MS0806" Warning "order unknown", "The answer to an order was lost; the endpoint is observed before any repeat.";
+    OrderUnknown "MS0806" Warning "order unknown", "The answer to an order was lost; the endpoint's state is read before any repeat.";
 
-    BreakerOpened "MS0901" Error "platform breaker opened", "Calls to the platform fail and are stopped for a while.";
+    BreakerOpened "MS0901" Error "platform breaker opened", "Calls to the platform fail and are suspended for a while.";
     BreakerClosed "MS0902" Info "platform breaker closed", "The platform answers again.";
-    OverBudget "MS0903" Warning "platform budget used up", "This router's share of the platform's rate is used up; calls were held back.";
-    StoreLost "MS0911" Error "store lost", "Calls to the store fail.";
-    StoreRegained "MS0912" Info "store regained", "The store answers again.";
+    OverBudget "MS0903" Warning "platform budget used up", "This router's share of the platform's rate limit is used up; calls were held back.";
+    StoreLost "MS0911" Error "store unavailable", "Calls to the store fail.";
+    StoreRegained "MS0912" Info "store available again", "The store answers again.";
     ConfigUnreadable "MS0913" Error "configuration unreadable", "The store holds a configuration that cannot be decoded.";
     ConfigFetched "MS0914" Info "configuration fetched from a peer", "A peer holds a newer configuration and the store cannot be reached.";
 }
--- a/mimosashift/tests/event.rs
+++ b/mimosashift/tests/event.rs
@@ -1,4 +1,4 @@
-//! The event catalogue and the logger.
+//! Tests of the event table and the logger.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
@@ -7,12 +7,12 @@
 use mimosashift::event::{self, Event, Level};
 use mimosashift::settings::{Form, Log};
 
-const CATALOGUE: &str = include_str!("../../docs/EVENTS.md");
+const EVENTS_DOC: &str = include_str!("../../docs/EVENTS.md");
 
 #[derive(Clone, Default)]
-struct Stream(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Stream {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().write(bytes)
     }
@@ -22,38 +22,38 @@
     }
 }
 
-fn logged(form: Form, level: Level, emit: impl FnOnce(&event::Logger)) -> String {
-    let stream = Stream::default();
-    let (logger, guard) = event::logger_to(&Log { form, level }, stream.clone());
+fn log_output(form: Form, level: Level, emit: impl FnOnce(&event::Logger)) -> String {
+    let buffer = SharedBuffer::default();
+    let (logger, guard) = event::logger_to(&Log { form, level }, buffer.clone());
     emit(&logger);
     drop(logger);
     drop(guard);
-    String::from_utf8(stream.0.lock().unwrap().clone()).unwrap()
+    String::from_utf8(buffer.0.lock().unwrap().clone()).unwrap()
 }
 
-fn rows() -> Vec<[&'static str; 5]> {
+fn doc_rows() -> Vec<[&'static str; 5]> {
     let row = |line: &'static str| {
         let cells: Vec<_> = line.trim_matches('|').split('|').map(str::trim).collect();
         <[&str; 5]>::try_from(cells).unwrap_or_else(|cells| panic!("not five cells: {cells:?}"))
     };
-    CATALOGUE.lines().filter(|line| line.starts_with("| MS")).map(row).collect()
+    EVENTS_DOC.lines().filter(|line| line.starts_with("| MS")).map(row).collect()
 }
 
 #[test]
-fn catalogue_and_table_agree() {
-    let in_code = |event: &Event| {
+fn docs_match_the_table() {
+    let code_row = |event: &Event| {
         [event.id(), event.level().as_str(), event.message(), event.meaning()].map(str::to_owned)
     };
-    let in_docs = |[id, level, message, meaning, _]: [&str; 5]| {
+    let doc_row = |[id, level, message, meaning, _]: [&str; 5]| {
         [id, level, message, meaning].map(str::to_owned)
     };
-    let code: Vec<_> = Event::ALL.iter().map(in_code).collect();
-    let docs: Vec<_> = rows().into_iter().map(in_docs).collect();
-    similar(&code, &docs);
-    assert!(rows().iter().all(|row| !row[4].is_empty()));
+    let code: Vec<_> = Event::ALL.iter().map(code_row).collect();
+    let docs: Vec<_> = doc_rows().into_iter().map(doc_row).collect();
+    assert_same_rows(&code, &docs);
+    assert!(doc_rows().iter().all(|row| !row[4].is_empty()));
 }
 
-fn similar(code: &[[String; 4]], docs: &[[String; 4]]) {
+fn assert_same_rows(code: &[[String; 4]], docs: &[[String; 4]]) {
     for row in code {
         assert!(docs.contains(row), "not in docs/EVENTS.md: {row:?}");
     }
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn ids_rise_and_are_unique() {
+fn ids_are_sorted_and_unique() {
     let ids: Vec<_> = Event::ALL.iter().map(|event| event.id()).collect();
     assert!(ids.windows(2).all(|pair| pair[0] < pair[1]), "{ids:?}");
     let well_formed =
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn json_line_carries_id_and_details() {
-    let text = logged(Form::Json, Level::Info, |log| {
+fn json_line_contains_id_and_details() {
+    let text = log_output(Form::Json, Level::Info, |log| {
         emit!(log, Event::ConfigInstalled, "revision" => 7, "source" => "peer");
     });
     let line: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -85,8 +85,8 @@
 }
 
 #[test]
-fn terminal_line_carries_id_and_details() {
-    let text = logged(Form::Terminal, Level::Info, |log| {
+fn terminal_line_contains_id_and_details() {
+    let text = log_output(Form::Terminal, Level::Info, |log| {
         emit!(log, Event::MemberDead, "member" => "b");
     });
     assert!(text.contains("member dead") && text.contains("MS0403"), "{text}");
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn less_severe_events_are_left_out() {
-    let text = logged(Form::Json, Level::Warning, |log| {
+fn events_below_the_log_level_are_omitted() {
+    let text = log_output(Form::Json, Level::Warning, |log| {
         emit!(log, Event::NodeReady);
         emit!(log, Event::MemberSuspect);
     });
