--- a/mimosashift/src/meter/label.rs
+++ b/mimosashift/src/meter/label.rs
@@ -1,11 +1,11 @@
-//! Values of labels.
+//! Labels of metrics and their values.
 
-/// A label whose values are a fixed set.
+/// A metric label with a fixed set of values.
 pub trait Label: Copy + 'static {
-    /// Every value, as it stands in the metrics.
+    /// Every value, as exported in the metrics.
     const VALUES: &'static [&'static str];
 
-    /// The value as it stands in the metrics.
+    /// The value as exported in the metrics.
     fn as_str(self) -> &'static str;
 }
 
@@ -36,51 +36,51 @@
 labels! {
     /// How a request ended.
     Outcome {
-        Completed "completed" "Answered whole.",
+        Completed "completed" "The response was complete.",
         Refused "refused" "Refused before any of it ran.",
-        Failed "failed" "Given up after it had started.",
-        Unknown "unknown" "It cannot be told whether it ran.",
-        Cancelled "cancelled" "The caller went away.",
+        Failed "failed" "Failed after it had started.",
+        Unknown "unknown" "It is not known whether it ran.",
+        Cancelled "cancelled" "The caller disconnected.",
     }
 
     /// Why a request was not run.
     RefusalReason {
         Late "late" "Its deadline could not be met.",
-        OverLimit "over_limit" "Its team's limit was used up.",
+        OverLimit "over_limit" "Its team's limit was reached.",
         Shed "shed" "The queue was full.",
         NotReady "not_ready" "The router had no configuration or was stopping.",
         NoEndpoint "no_endpoint" "No endpoints cover the model.",
         Invalid "invalid" "The request was not valid.",
     }
 
-    /// How a request went on after it lost a stage.
+    /// How a request was recovered after it lost a stage.
     Recovery {
         Imported "imported" "The KV cache was copied from a live endpoint.",
-        Rebuilt "rebuilt" "The KV cache was computed again from the tokens.",
-        Restarted "restarted" "Nothing had been answered, so it started afresh.",
+        Rebuilt "rebuilt" "The KV cache was recomputed from the tokens.",
+        Restarted "restarted" "No token had been sent, so the request was started again.",
     }
 
     /// Why a reply was dropped.
     DropReason {
         Late "late" "It belonged to an earlier attempt.",
-        Duplicate "duplicate" "It had been accepted before.",
+        Duplicate "duplicate" "The same reply had already been accepted.",
         Crossed "crossed" "It belonged to another request.",
         Malformed "malformed" "It did not follow the protocol.",
     }
 
     /// State of an endpoint.
     EndpointState {
-        Healthy "healthy" "It gets its full share of work.",
-        Returning "returning" "It gets a growing share of work.",
-        Ejected "ejected" "It gets no work because it failed.",
-        Leaving "leaving" "It gets no new work because it is shutting down.",
+        Healthy "healthy" "It receives its full share of work.",
+        Returning "returning" "It receives a growing share of work.",
+        Ejected "ejected" "It receives no work because it failed.",
+        Leaving "leaving" "It receives no new work because it is shutting down.",
     }
 
     /// State of another router.
     MemberState {
         Alive "alive" "Its heartbeats arrive.",
         Suspect "suspect" "Its heartbeats are overdue.",
-        Dead "dead" "It has been silent too long.",
+        Dead "dead" "No heartbeat arrived within the time limit.",
         Leaving "leaving" "It announced its shutdown.",
     }
 
@@ -101,19 +101,19 @@
     CallOutcome {
         Done "done" "It took effect.",
         Conflict "conflict" "A precondition did not hold.",
-        Unavailable "unavailable" "The platform did not serve it.",
+        Unavailable "unavailable" "The platform was not available.",
         OverBudget "over_budget" "It was held back by this router's budget.",
-        Invalid "invalid" "The platform did not understand it.",
+        Invalid "invalid" "The platform rejected it as malformed.",
         Unknown "unknown" "Its answer was lost.",
     }
 
     /// How a posting ended.
     PostingOutcome {
         Recorded "recorded" "It ran and its outcome is recorded.",
-        Repeated "repeated" "The recorded outcome was answered again.",
+        Repeated "repeated" "The recorded outcome was returned again.",
         Refused "refused" "It was not run.",
-        Withdrawn "withdrawn" "Its claim was withdrawn before it was sent.",
+        Withdrawn "withdrawn" "Its claim was withdrawn before the posting was sent.",
         Mismatch "mismatch" "Its key had been used for another request.",
-        Unknown "unknown" "It cannot be told whether it ran.",
+        Unknown "unknown" "It is not known whether it ran.",
     }
 }
--- a/mimosashift/src/meter/mod.rs
+++ b/mimosashift/src/meter/mod.rs
@@ -1,8 +1,8 @@
-//! Metrics, registered once and rendered as Prometheus text.
+//! Metrics, rendered in the Prometheus text format.
 //!
-//! `docs/METRICS.md` lists them; a test holds it and the table together.
-//! Every label takes its values from an enum, so that the number of series is
-//! bounded however many teams and endpoints there are.
+//! `docs/METRICS.md` lists them; a test checks that it matches the table in
+//! this module. Every label takes its values from an enum, so the number of
+//! series does not depend on the number of teams and endpoints.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider};
@@ -19,39 +19,39 @@
 };
 pub use table::{Kind, METRICS, Meter, Metric};
 
-/// Upper bounds of histogram buckets, in seconds, around the targets of 26 ms
-/// between tokens and 0.32 s to the first token.
+/// Upper bounds of histogram buckets, in seconds. They include the latency
+/// targets: 26 ms between tokens and 0.32 s to the first token.
 const BUCKETS: [f64; 19] = [
     0.000_1, 0.000_25, 0.000_5, 0.001, 0.002_5, 0.005, 0.01, 0.018, 0.026, 0.04, 0.08, 0.16, 0.32,
     0.64, 1.28, 2.56, 5.12, 10.24, 60.0,
 ];
 
-/// Most series of one metric; further ones are counted together.
+/// Maximum number of series of one metric; the SDK aggregates further ones.
 const MAX_SERIES: usize = 64;
 
 quick_error! {
-    /// Why metrics could not be set up or rendered.
+    /// Failure to set up or render the metrics.
     #[derive(Debug)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
-        /// The exporter was not set up.
+        /// The Prometheus exporter could not be created.
         Exporter(reason: String) {
             display("metrics exporter: {}", reason)
         }
-        /// The text was not rendered.
+        /// The metrics could not be encoded as text.
         Render(reason: String) {
             display("metrics text: {}", reason)
         }
     }
 }
 
-/// Where the metrics are collected.
-struct Export {
+/// The meter provider and the Prometheus registry that it exports to.
+struct Exporter {
     registry: Registry,
     provider: SdkMeterProvider,
 }
 
-impl Export {
+impl Exporter {
     fn new() -> Result<Self, Error> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -60,7 +60,8 @@
             .scope_info_enabled(false)
             .build()
             .map_err(|error| Error::Exporter(error.to_string()))?;
-        let provider = SdkMeterProvider::builder().with_reader(exporter).with_view(bounded).build();
+        let provider =
+            SdkMeterProvider::builder().with_reader(exporter).with_view(limit_series).build();
         Ok(Self { registry, provider })
     }
 
@@ -91,13 +92,13 @@
     }
 }
 
-/// Makes room for the series that a metric can have; the default is room for
-/// 2,000, taken in advance for each metric.
-fn bounded(_: &Instrument) -> Option<Stream> {
+/// Limits the series of a metric; the SDK's default of 2,000 is allocated in
+/// advance for each metric.
+fn limit_series(_: &Instrument) -> Option<Stream> {
     Stream::builder().with_cardinality_limit(MAX_SERIES).build().ok()
 }
 
-/// A label with a value of a fixed set.
-fn label(key: &'static str, value: impl Label) -> KeyValue {
+/// Converts a label to an OpenTelemetry attribute.
+fn attribute(key: &'static str, value: impl Label) -> KeyValue {
     KeyValue::new(key, value.as_str())
 }
--- a/mimosashift/src/meter/table.rs
+++ b/mimosashift/src/meter/table.rs
@@ -1,4 +1,4 @@
-//! The table of metrics.
+//! Declarations of all metrics.
 
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
 
@@ -6,14 +6,14 @@
     CallOutcome, DropReason, EndpointState, Label, MemberState, Outcome, PlatformCall,
     PostingOutcome, Recovery, RefusalReason, Transport,
 };
-use super::{Error, Export, label};
+use super::{Error, Exporter, attribute};
 
 /// Kind of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A sum that only grows; its name in the text ends in `_total`.
+    /// A monotonic sum; its exported name ends in `_total`.
     Counter,
-    /// A value that rises and falls.
+    /// A value that can increase and decrease.
     Gauge,
     /// A distribution of durations, in seconds.
     Histogram,
@@ -22,17 +22,17 @@
 /// One metric.
 #[derive(Clone, Copy, Debug)]
 pub struct Metric {
-    /// Name, without the suffix of its kind.
+    /// Name, without the `_total` suffix of counters.
     pub name: &'static str,
-    /// Kind.
+    /// Instrument kind.
     pub kind: Kind,
     /// Labels and their values.
     pub labels: &'static [(&'static str, &'static [&'static str])],
-    /// What it measures.
+    /// Help text.
     pub help: &'static str,
 }
 
-/// Instrument, value type, constructor and recording method of each kind.
+/// Instrument type, value type, constructor and recording method of each kind.
 macro_rules! instrument {
     (type Counter) => { Counter<u64> };
     (type Gauge) => { Gauge<u64> };
@@ -40,15 +40,15 @@
     (value Counter) => { u64 };
     (value Gauge) => { u64 };
     (value Histogram) => { f64 };
-    (build Counter $export:expr, $metric:expr) => { $export.counter($metric) };
-    (build Gauge $export:expr, $metric:expr) => { $export.gauge($metric) };
-    (build Histogram $export:expr, $metric:expr) => { $export.histogram($metric) };
+    (build Counter $exporter:expr, $metric:expr) => { $exporter.counter($metric) };
+    (build Gauge $exporter:expr, $metric:expr) => { $exporter.gauge($metric) };
+    (build Histogram $exporter:expr, $metric:expr) => { $exporter.histogram($metric) };
     (record Counter $to:expr, $value:expr, $labels:expr) => { $to.add($value, $labels) };
     (record Gauge $to:expr, $value:expr, $labels:expr) => { $to.record($value, $labels) };
     (record Histogram $to:expr, $value:expr, $labels:expr) => { $to.record($value, $labels) };
 }
 
-/// Declares the metrics: method, name, kind, labels, help.
+/// Declares the metrics, each with method, name, kind, labels and help text.
 macro_rules! metrics {
     ($($field:ident $name:literal $kind:ident [$($label:ident: $values:ty),*] $help:literal;)*) => {
         /// Every metric, in the order of the documentation.
@@ -59,34 +59,34 @@
             help: $help,
         },)*];
 
-        /// The instruments of one router.
+        /// The metric instruments of one router.
         pub struct Meter {
-            export: Export,
+            exporter: Exporter,
             $($field: instrument!(type $kind),)*
         }
 
         impl Meter {
             /// Registers every metric.
             pub fn new() -> Result<Self, Error> {
-                let export = Export::new()?;
+                let exporter = Exporter::new()?;
                 let mut metrics = METRICS.iter();
                 $(let $field = {
-                    let metric = metrics.next().expect("the table has a row for each field");
-                    instrument!(build $kind export, metric)
+                    let metric = metrics.next().expect("METRICS has a row for each field");
+                    instrument!(build $kind exporter, metric)
                 };)*
-                Ok(Self { export, $($field,)* })
+                Ok(Self { exporter, $($field,)* })
             }
 
-            /// The metrics in Prometheus text form; one that has not been
-            /// recorded yet is left out.
+            /// Renders the metrics in the Prometheus text format, without those
+            /// that have not been recorded yet.
             pub fn render(&self) -> Result<String, Error> {
-                self.export.render()
+                self.exporter.render()
             }
 
             $(
                 #[doc = $help]
                 pub fn $field(&self, value: instrument!(value $kind) $(, $label: $values)*) {
-                    instrument!(record $kind self.$field, value, &[$(label(stringify!($label), $label)),*]);
+                    instrument!(record $kind self.$field, value, &[$(attribute(stringify!($label), $label)),*]);
                 }
             )*
         }
--- a/mimosashift/tests/meter.rs
+++ b/mimosashift/tests/meter.rs
@@ -1,4 +1,4 @@
-//! The metrics, their documentation and their text form.
+//! Tests of the metrics, their documentation and their text format.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
     PlatformCall, PostingOutcome, Recovery, RefusalReason, Transport,
 };
 
-const DOCS: &str = include_str!("../../docs/METRICS.md");
+const METRICS_DOC: &str = include_str!("../../docs/METRICS.md");
 
 fn suffix(metric: &Metric) -> (&'static str, &'static str) {
     match metric.kind {
@@ -17,16 +17,16 @@
     }
 }
 
-/// The row of `docs/METRICS.md`.
-fn row(metric: &Metric) -> String {
+/// Formats a row of the table in `docs/METRICS.md`.
+fn doc_row(metric: &Metric) -> String {
     let (suffix, kind) = suffix(metric);
     let label = |(key, values): &(&str, &[&str])| format!("`{key}`: {}", values.join(", "));
     let labels: Vec<_> = metric.labels.iter().map(label).collect();
     format!("| `{}{suffix}` | {kind} | {} | {} |", metric.name, labels.join("; "), metric.help)
 }
 
-/// Records one value of every metric, with every value of every label.
-fn filled() -> Meter {
+/// Records one value of every metric for every label value.
+fn meter_with_all_series() -> Meter {
     let meter = Meter::new().unwrap();
     Outcome::ALL.iter().for_each(|o| meter.requests(1, *o));
     RefusalReason::ALL.iter().for_each(|r| meter.refusals(1, *r));
@@ -71,15 +71,15 @@
 }
 
 #[test]
-fn docs_and_table_agree() {
-    let docs: Vec<_> = DOCS.lines().filter(|line| line.starts_with("| `mimosa")).collect();
-    let code: Vec<_> = METRICS.iter().map(row).collect();
+fn docs_match_the_table() {
+    let docs: Vec<_> = METRICS_DOC.lines().filter(|line| line.starts_with("| `mimosa")).collect();
+    let code: Vec<_> = METRICS.iter().map(doc_row).collect();
     assert_eq!(docs, code, "the table should be:\n{}", code.join("\n"));
 }
 
 #[test]
-fn text_holds_every_metric_and_no_other() {
-    let text = filled().render().unwrap();
+fn text_contains_exactly_the_declared_metrics() {
+    let text = meter_with_all_series().render().unwrap();
     let types: BTreeSet<_> =
         text.lines().filter_map(|line| line.strip_prefix("# TYPE ")).map(str::to_owned).collect();
     let expected: BTreeSet<_> = METRICS
@@ -90,18 +90,19 @@
 }
 
 #[test]
-fn series_are_bounded_by_the_label_values() {
-    let text = filled().render().unwrap();
+fn series_count_matches_the_label_values() {
+    let text = meter_with_all_series().render().unwrap();
     let series = text.lines().filter(|line| !line.starts_with('#') && !line.contains("_bucket"));
     let combinations = |metric: &Metric| -> usize {
-        let own: usize = metric.labels.iter().map(|(_, values)| values.len()).product();
-        own * if metric.kind == Kind::Histogram { 2 } else { 1 }
+        let label_combinations: usize =
+            metric.labels.iter().map(|(_, values)| values.len()).product();
+        label_combinations * if metric.kind == Kind::Histogram { 2 } else { 1 }
     };
     assert_eq!(series.count(), METRICS.iter().map(combinations).sum::<usize>(), "{text}");
 }
 
 #[test]
-fn values_add_up_and_targets_are_bucket_bounds() {
+fn counters_add_up_and_latency_targets_are_bucket_bounds() {
     let meter = Meter::new().unwrap();
     meter.requests(2, Outcome::Completed);
     meter.requests(3, Outcome::Completed);
