--- a/mimosashift/src/settings/mod.rs
+++ b/mimosashift/src/settings/mod.rs
@@ -1,8 +1,8 @@
 //! Settings of the daemon, from flags and environment variables.
 //!
-//! [`Raw`] holds the text of each setting, a flag going before its variable;
-//! `TryFrom` turns it into [`Settings`] and reports all wrong values at once.
-//! `docs/SETTINGS.md` is printed from the same table.
+//! [`Raw`] holds the text of each setting; a flag takes precedence over its
+//! environment variable. `TryFrom` converts it to [`Settings`] and reports all
+//! invalid values together. `docs/SETTINGS.md` is generated from the same table.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 pub const KEY_BYTES: usize = 32;
 
 quick_error! {
-    /// Why one setting was not accepted.
+    /// Why a setting is invalid.
     #[derive(Clone, Debug, PartialEq, Eq)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Problem {
@@ -33,35 +33,35 @@
         Invalid { flag: &'static str, value: String, rule: &'static str } {
             display("--{} ({}) is {:?}, must be {}", flag, table::env_name(flag), value, rule)
         }
-        /// The value of a secret setting is not allowed; it is not repeated.
-        Secret { flag: &'static str, rule: &'static str } {
+        /// The value of a secret setting is not allowed; the message omits it.
+        InvalidSecret { flag: &'static str, rule: &'static str } {
             display("--{} ({}) is wrong, must be {}", flag, table::env_name(flag), rule)
         }
     }
 }
 
-/// Every setting that was not accepted, displayed one per line.
+/// All invalid settings, displayed one per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error(pub Vec<Problem>);
 
-/// All settings, checked.
+/// All settings, validated.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who and where this router is.
+    /// Name and location of this router.
     pub node: Node,
-    /// The callers' surface.
+    /// The API for callers.
     pub caller: Caller,
-    /// The operators' surface.
+    /// The API for operators.
     pub operator: Operator,
-    /// Other routers.
+    /// Communication with other routers.
     pub peer: Peer,
-    /// The platform.
+    /// Platform services.
     pub platform: Platform,
-    /// Logs.
+    /// Logging.
     pub log: Log,
 }
 
-/// Who and where this router is.
+/// Name and location of this router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Node {
     /// Name, unique among routers.
@@ -70,68 +70,68 @@
     pub domain: Name,
     /// Region.
     pub region: Name,
-    /// Longest time to finish accepted requests at shutdown.
+    /// Maximum time to finish accepted requests at shutdown.
     pub drain: Duration,
 }
 
-/// The callers' surface and its bounds.
+/// The API for callers and its limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Most requests in progress.
+    /// Maximum number of requests in progress.
     pub max_concurrent: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Most bytes of queued requests.
+    /// Maximum total size of queued requests, in bytes.
     pub queue_bytes: usize,
 }
 
-/// The operators' surface.
+/// The API for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operator {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// SHA-256 digest of a token that may change resources before any team
+    /// SHA-256 digest of the token that may change resources before any team
     /// exists.
     pub bootstrap_digest: Option<Digest>,
 }
 
-/// Other routers and how to reach them.
+/// Communication with other routers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Address for UDP and TCP, by which peers reach this router.
+    /// UDP and TCP address at which peers reach this router.
     pub address: SocketAddr,
-    /// Peers to greet first; the rest are learnt from them.
+    /// Peers contacted at start; they report the other members.
     pub peers: Vec<SocketAddr>,
-    /// Authentication keys: the first signs, all are accepted.
+    /// Authentication keys: the first one signs messages, and all of them verify.
     pub keys: Vec<Key>,
     /// One-way latency to another failure domain.
     pub cross_domain_latency: Duration,
 }
 
-/// The platform's services.
+/// Access to the platform services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Platform {
-    /// Base URL, without a slash at the end.
+    /// Base URL, without a trailing slash.
     pub url: String,
 }
 
 /// How events are logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// Form of each line.
+    /// Format of each line.
     pub form: Form,
     /// Least severe level that is logged.
     pub level: slog::Level,
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
-    /// Text for people.
+    /// Human-readable text.
     Terminal,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -139,7 +139,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Digest(pub [u8; 32]);
 
-/// A key that authenticates messages between routers; never displayed.
+/// A key that authenticates messages between routers; `Debug` omits the secret.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
     /// Identifies the key in messages.
--- a/mimosashift/src/settings/table.rs
+++ b/mimosashift/src/settings/table.rs
@@ -1,27 +1,27 @@
-//! The table of settings, from which flags, variables, help text and the
-//! documentation are made.
+//! Declarations of all settings, from which the flags, environment variables,
+//! help text and documentation are generated.
 
 use std::fmt::Write;
 
-/// Start of each environment variable's name.
+/// Prefix of the environment variables.
 const ENV_PREFIX: &str = "MIMOSASHIFT_";
 
 /// One setting of the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Setting {
-    /// Flag, without the two dashes.
+    /// Flag name, without the leading dashes.
     pub flag: &'static str,
-    /// Value when neither flag nor variable is given.
+    /// Value when neither the flag nor the variable is given; `None` if required.
     pub default: Option<&'static str>,
-    /// What is allowed, with the unit.
+    /// Allowed values, with the unit.
     pub rule: &'static str,
-    /// What it is for.
+    /// Purpose.
     pub help: &'static str,
-    /// Whether the value must not be repeated in messages.
+    /// Whether messages must omit the value.
     pub secret: bool,
 }
 
-/// Declares the settings: field, flag, default, rule, help.
+/// Declares the settings, each with field, flag, default, secrecy, rule and help.
 macro_rules! settings {
     ($($field:ident $flag:literal $default:expr, $secret:literal, $rule:literal, $help:literal;)*) => {
         /// Every setting, in the order of the documentation.
@@ -33,15 +33,15 @@
             secret: $secret,
         },)*];
 
-        /// The text of each setting as given, not yet checked.
+        /// The text of each setting as given, before validation.
         #[derive(Clone, Default)]
         pub struct Raw {
             $(#[doc = $help] pub $field: Option<String>,)*
         }
 
         impl Raw {
-            /// Sets the value of a flag and returns the one before, or hands
-            /// the value back when no such flag exists.
+            /// Sets the value of a flag and returns the previous one; returns
+            /// `value` as the error if there is no such flag.
             pub fn set(&mut self, flag: &str, value: String) -> Result<Option<String>, String> {
                 match flag {
                     $($flag => Ok(self.$field.replace(value)),)*
@@ -49,7 +49,7 @@
                 }
             }
 
-            /// Fills each setting that has no value yet from its variable.
+            /// Sets each setting that has no value yet from its environment variable.
             pub fn fill(mut self, env: impl Fn(&str) -> Option<String>) -> Self {
                 $(if self.$field.is_none() {
                     self.$field = env(&env_name($flag));
@@ -81,17 +81,17 @@
 }
 
 impl Setting {
-    /// The environment variable that gives the value.
+    /// Name of the setting's environment variable.
     pub fn env(&self) -> String {
         env_name(self.flag)
     }
 
-    /// The setting of a flag.
+    /// Finds the setting with the given flag name.
     pub fn of(flag: &str) -> Option<&'static Self> {
         SETTINGS.iter().find(|setting| setting.flag == flag)
     }
 
-    /// The text that `--help` prints.
+    /// The settings as `--help` prints them.
     pub fn help_text() -> String {
         let mut text = String::from("Settings, each by flag or environment variable:\n");
         for setting in SETTINGS {
@@ -101,12 +101,12 @@
                 text,
                 "\n  --{flag} <VALUE>  [{env}]\n      {help} Must be {rule}; {default}.\n"
             )
-            .expect("a string takes every write");
+            .expect("writing to a String cannot fail");
         }
         text
     }
 
-    /// The table of `docs/SETTINGS.md`.
+    /// The settings as a Markdown table for `docs/SETTINGS.md`.
     pub fn markdown() -> String {
         let mut text = String::from(
             "| Flag | Variable | Default | Allowed | Purpose |\n| --- | --- | --- | --- | --- |\n",
@@ -119,13 +119,13 @@
             };
             let (flag, env, help, rule) = (setting.flag, setting.env(), setting.help, setting.rule);
             writeln!(text, "| `--{flag}` | `{env}` | {default} | {rule} | {help} |")
-                .expect("a string takes every write");
+                .expect("writing to a String cannot fail");
         }
         text
     }
 }
 
-/// The environment variable of a flag.
+/// Name of the environment variable for a flag.
 pub(super) fn env_name(flag: &str) -> String {
     format!("{ENV_PREFIX}{}", flag.replace('-', "_").to_ascii_uppercase())
 }
--- a/mimosashift/tests/settings.rs
+++ b/mimosashift/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Checks of the daemon's settings.
+//! Tests of the daemon's settings.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
-fn least() -> Raw {
+fn minimal_settings() -> Raw {
     let mut raw = Raw::default();
     for (flag, value) in [
         ("node", "r1"),
@@ -19,18 +19,18 @@
     raw
 }
 
-fn error(flag: &str, value: &str) -> String {
-    let mut raw = least();
+fn error_for(flag: &str, value: &str) -> String {
+    let mut raw = minimal_settings();
     raw.set(flag, value.to_owned()).unwrap();
     Settings::try_from(raw).unwrap_err().to_string()
 }
 
-/// Names each value that must be refused, one per line.
-macro_rules! refused {
+/// Declares one test per setting value that must be rejected.
+macro_rules! rejected {
     ($($case:ident: $flag:literal $value:literal;)*) => {$(
         #[test]
         fn $case() {
-            let error = error($flag, $value);
+            let error = error_for($flag, $value);
             let setting = Setting::of($flag).unwrap();
             assert_eq!(error.lines().count(), 1, "{error}");
             assert!(error.contains(concat!("--", $flag, " (")), "{error}");
@@ -42,17 +42,17 @@
     )*};
 }
 
-refused! {
+rejected! {
     node_empty: "node" "";
     node_upper_case: "node" "R1";
     domain_with_space: "domain" "a b";
     region_with_slash: "region" "a/b";
     listen_without_port: "listen" "127.0.0.1";
-    listen_by_host_name: "listen" "localhost:80";
+    listen_with_host_name: "listen" "localhost:80";
     listen_port_zero: "listen" "127.0.0.1:0";
     operator_listen_port_too_large: "operator-listen" "127.0.0.1:65536";
     peer_address_unspecified: "peer-address" "0.0.0.0:8082";
-    peers_with_empty_part: "peers" "127.0.0.1:1,,127.0.0.1:2";
+    peers_with_empty_entry: "peers" "127.0.0.1:1,,127.0.0.1:2";
     peers_not_addresses: "peers" "a,b";
     peer_keys_without_id: "peer-keys" "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
     peer_keys_short: "peer-keys" "1:0011";
@@ -76,19 +76,19 @@
 }
 
 #[test]
-fn peer_key_ids_must_differ() {
-    let error = error("peer-keys", &format!("1:{KEY},1:{KEY}"));
+fn duplicate_peer_key_ids_are_rejected() {
+    let error = error_for("peer-keys", &format!("1:{KEY},1:{KEY}"));
     assert!(error.contains("--peer-keys") && !error.contains(KEY), "{error}");
 }
 
 #[test]
-fn peers_need_a_key() {
-    let error = error("peers", "127.0.0.1:8083");
+fn peers_without_key_are_rejected() {
+    let error = error_for("peers", "127.0.0.1:8083");
     assert!(error.contains("at least one with --peers"), "{error}");
 }
 
 #[test]
-fn all_wrong_settings_are_reported_at_once() {
+fn all_invalid_settings_are_reported_together() {
     let mut raw = Raw::default();
     raw.set("log-form", "xml".to_owned()).unwrap();
     let error = Settings::try_from(raw).unwrap_err().to_string();
@@ -98,8 +98,8 @@
 }
 
 #[test]
-fn defaults_are_in_force() {
-    let settings = Settings::try_from(least()).unwrap();
+fn defaults_apply() {
+    let settings = Settings::try_from(minimal_settings()).unwrap();
     assert_eq!(settings.platform.url, "http://127.0.0.1:9000");
     assert_eq!(settings.log.form, Form::Terminal);
     assert_eq!(settings.node.drain, Duration::from_secs(120));
@@ -108,20 +108,20 @@
 }
 
 #[test]
-fn flag_goes_before_variable() {
+fn flag_takes_precedence_over_variable() {
     let env = |name: &str| match name {
         "MIMOSASHIFT_NODE" => Some("from-env".to_owned()),
         "MIMOSASHIFT_DRAIN_MS" => Some("7".to_owned()),
         _ => None,
     };
-    let settings = Settings::try_from(least().fill(env)).unwrap();
+    let settings = Settings::try_from(minimal_settings().fill(env)).unwrap();
     assert_eq!(settings.node.name.as_str(), "r1");
     assert_eq!(settings.node.drain, Duration::from_millis(7));
 }
 
 #[test]
-fn peers_and_keys_are_read_in_order() {
-    let mut raw = least();
+fn peers_and_keys_keep_their_order() {
+    let mut raw = minimal_settings();
     raw.set("peers", "127.0.0.1:1, [::1]:2".to_owned()).unwrap();
     raw.set("peer-keys", format!("9:{KEY},4:{KEY}")).unwrap();
     let peer = Settings::try_from(raw).unwrap().peer;
@@ -131,12 +131,12 @@
 }
 
 #[test]
-fn unknown_flag_hands_the_value_back() {
+fn unknown_flag_returns_the_value() {
     assert_eq!(Raw::default().set("nodes", "x".to_owned()), Err("x".to_owned()));
 }
 
 #[test]
-fn help_and_docs_hold_every_setting() {
+fn help_and_docs_contain_every_setting() {
     let docs = include_str!("../../docs/SETTINGS.md");
     assert!(docs.contains(&Setting::markdown()), "expected table:\n{}", Setting::markdown());
     let help = Setting::help_text();
