--- a/mimosafront/src/state.rs
+++ b/mimosafront/src/state.rs
@@ -281,13 +281,13 @@
     pub fn mark_dead(&self, id: &str, reason: &str) {
         self.fleet.borrow_mut().mark_dead(id, clock::now());
         self.faults.notify_waiters();
-        emit!(self.log, Event::EndpointDoubted, "endpoint" => id, "reason" => reason, "dead" => true);
+        emit!(self.log, Event::EndpointSuspect, "endpoint" => id, "reason" => reason, "dead" => true);
     }
 
     /// Excludes an endpoint for a while after a failure.
     pub fn mark_suspect(&self, id: &str, reason: &str) {
         self.fleet.borrow_mut().record_failure(id, clock::now());
-        emit!(self.log, Event::EndpointDoubted, "endpoint" => id, "reason" => reason);
+        emit!(self.log, Event::EndpointSuspect, "endpoint" => id, "reason" => reason);
     }
 }
 
--- a/mimosashift/src/event/table.rs
+++ b/mimosashift/src/event/table.rs
@@ -88,7 +88,7 @@
     EndpointGone "MS0512" Warning "endpoint gone", "The directory no longer lists an endpoint.";
     EndpointUnreadable "MS0513" Warning "endpoint entry unreadable", "A directory entry cannot be decoded and is ignored.";
     EndpointPlaced "MS0514" Info "endpoint layers changed", "The layers that an endpoint holds changed.";
-    EndpointDoubted "MS0515" Warning "endpoint suspect", "An endpoint failed and is excluded from routing for a while.";
+    EndpointSuspect "MS0515" Warning "endpoint suspect", "An endpoint failed and is excluded from routing for a while.";
     ReportMissing "MS0516" Info "report missing", "An engine did not answer a request for its speed report.";
     EndpointCrowded "MS0517" Info "endpoint overloaded", "An endpoint refused work because it has no memory for it or cannot start it.";
 
