--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -203,7 +203,7 @@
     }
     for id in &change.layers_changed {
         let layers = fleet.get(id).and_then(|member| member.endpoint.layers);
-        emit!(state.log, Event::EndpointPlaced, "endpoint" => &**id, "source" => "store", "layers" => layers.map(|layers| layers.to_string()));
+        emit!(state.log, Event::EndpointLayersChanged, "endpoint" => &**id, "source" => "store", "layers" => layers.map(|layers| layers.to_string()));
     }
     for id in &change.leaving {
         emit!(state.log, Event::EndpointLeaving, "endpoint" => &**id);
--- a/mimosafront/src/state.rs
+++ b/mimosafront/src/state.rs
@@ -273,7 +273,7 @@
     /// Logs an observation of an endpoint and its source.
     pub fn log_observed(&self, id: &str, change: &Observation, source: &str) {
         let layers = change.layers.map(|layers| layers.to_string());
-        emit!(self.log, Event::EndpointPlaced, "endpoint" => id, "source" => source, "layers" => layers, "pace" => change.pace);
+        emit!(self.log, Event::EndpointLayersChanged, "endpoint" => id, "source" => source, "layers" => layers, "pace" => change.pace);
     }
 
     /// Marks an endpoint that does not answer as dead, and wakes the requests
--- a/mimosashift/src/event/table.rs
+++ b/mimosashift/src/event/table.rs
@@ -87,7 +87,7 @@
     EndpointJoined "MS0511" Info "endpoint joined", "An endpoint registered or restarted.";
     EndpointGone "MS0512" Warning "endpoint gone", "The directory no longer lists an endpoint.";
     EndpointUnreadable "MS0513" Warning "endpoint entry unreadable", "A directory entry cannot be decoded and is ignored.";
-    EndpointPlaced "MS0514" Info "endpoint layers changed", "The layers that an endpoint holds changed.";
+    EndpointLayersChanged "MS0514" Info "endpoint layers changed", "The layers that an endpoint holds changed.";
     EndpointSuspect "MS0515" Warning "endpoint suspect", "An endpoint failed and is excluded from routing for a while.";
     ReportMissing "MS0516" Info "report missing", "An engine did not answer a request for its speed report.";
     EndpointCrowded "MS0517" Info "endpoint overloaded", "An endpoint refused work because it has no memory for it or cannot start it.";
