--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -442,7 +442,7 @@
         if named.is_some() {
             let state = self.state().clone();
             state.fleet.borrow_mut().record_cache_full(&hop.id, clock::now());
-            emit!(state.log, Event::EndpointCrowded, "endpoint" => &*hop.id, "request" => &*self.ctx.id, "status" => status.as_u16());
+            emit!(state.log, Event::EndpointOverloaded, "endpoint" => &*hop.id, "request" => &*self.ctx.id, "status" => status.as_u16());
             let hop = hop.clone();
             // The endpoint is not selected until the probe has ended.
             tokio::task::spawn_local(async move { drop(probe::check_alive(&state, &hop).await) });
--- a/mimosashift/src/event/table.rs
+++ b/mimosashift/src/event/table.rs
@@ -90,7 +90,7 @@
     EndpointLayersChanged "MS0514" Info "endpoint layers changed", "The layers that an endpoint holds changed.";
     EndpointSuspect "MS0515" Warning "endpoint suspect", "An endpoint failed and is excluded from routing for a while.";
     ReportMissing "MS0516" Info "report missing", "An engine did not answer a request for its speed report.";
-    EndpointCrowded "MS0517" Info "endpoint overloaded", "An endpoint refused work because it has no memory for it or cannot start it.";
+    EndpointOverloaded "MS0517" Info "endpoint overloaded", "An endpoint refused work because it has no memory for it or cannot start it.";
 
     StageMoved "MS0601" Warning "stage moved", "A request lost a stage and continued on another endpoint.";
     RequestRefused "MS0602" Info "request refused", "A request was refused before any of it ran.";
