--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -304,7 +304,7 @@
         let layer = shortage.layer();
         let holders = self.state().fleet.borrow().describe_holders(&query, layer, clock::now());
         let waiting = self.state().pressure.borrow().waiting();
-        emit!(self.state().log, Event::LayerShort, "request" => &*self.ctx.id, "layer" => layer, "holders" => holders, "waiting" => waiting);
+        emit!(self.state().log, Event::LayerShortage, "request" => &*self.ctx.id, "layer" => layer, "holders" => holders, "waiting" => waiting);
     }
 
     fn shortage_error(&self, shortage: &Shortage) -> RequestError {
