--- a/mimosafront/src/relay/model/stall.rs
+++ b/mimosafront/src/relay/model/stall.rs
@@ -56,7 +56,7 @@
         };
         let names = |hops: &[Hop]| hops.iter().map(|hop| &*hop.id).collect::<Vec<_>>().join(",");
         let silent_ms = millis(clock::now().since(since));
-        emit!(self.state().log, Event::RequestExamined, "request" => &*self.ctx.id, "silent_ms" => silent_ms, "silent" => names(&silent), "dead" => names(&dead), "slow" => names(&slow), "after_event" => self.events.last());
+        emit!(self.state().log, Event::RequestStalled, "request" => &*self.ctx.id, "silent_ms" => silent_ms, "silent" => names(&silent), "dead" => names(&dead), "slow" => names(&slow), "after_event" => self.events.last());
         let first = chain[0].clone();
         if dead.iter().any(|hop| hop.id == first.id) {
             self.avoid.extend(dead);
--- a/mimosashift/src/event/table.rs
+++ b/mimosashift/src/event/table.rs
@@ -104,7 +104,7 @@
     RequestRetried "MS0613" Info "request retried", "A request is sent to another endpoint.";
     RequestMoved "MS0614" Warning "request moved", "A running request was moved to another chain.";
     RequestDenied "MS0615" Info "request denied", "A request was not allowed or not valid and was answered with a client error.";
-    RequestExamined "MS0616" Info "request stalled", "A request made no progress, and the endpoints of its chain were asked for reports.";
+    RequestStalled "MS0616" Info "request stalled", "A request made no progress, and the endpoints of its chain were asked for reports.";
     LayerShortage "MS0617" Info "layer shortage", "No endpoint that holds a layer has memory for a request.";
 
     PostingClaimed "MS0701" Debug "posting claimed", "The idempotency key of a posting was claimed.";
