--- a/mimosafront/src/relay/mod.rs
+++ b/mimosafront/src/relay/mod.rs
@@ -334,7 +334,7 @@
         }
         RequestError::Failed(status, reason) => {
             state.meter.requests(1, Outcome::Failed);
-            emit!(state.log, Event::RequestGaveUp, "request" => request, "status" => status.as_u16(), "reason" => *reason, "ms" => ms);
+            emit!(state.log, Event::RequestFailed, "request" => request, "status" => status.as_u16(), "reason" => *reason, "ms" => ms);
             (*status, reason, None)
         }
     };
--- a/mimosafront/src/relay/model/forward.rs
+++ b/mimosafront/src/relay/model/forward.rs
@@ -172,7 +172,7 @@
         self.done = true;
         self.state().meter.requests(1, Outcome::Failed);
         let ms = millis(clock::now().since(self.ctx.arrived));
-        emit!(self.state().log, Event::RequestGaveUp, "request" => &*self.ctx.id, "reason" => reason, "ms" => ms, "events" => self.events_forwarded, "after_event" => self.events.last());
+        emit!(self.state().log, Event::RequestFailed, "request" => &*self.ctx.id, "reason" => reason, "ms" => ms, "events" => self.events_forwarded, "after_event" => self.events.last());
     }
 
     /// Forwards events until the stream ends or fails.
--- a/mimosashift/src/node/callers.rs
+++ b/mimosashift/src/node/callers.rs
@@ -198,7 +198,7 @@
                 emit!(self.0.log, Event::RequestCutShort, "tokens" => tokens);
             }
             Outcome::Failed { .. } | Outcome::DeadlineExceeded { .. } => {
-                emit!(self.0.log, Event::RequestGaveUp, "tokens" => tokens,
+                emit!(self.0.log, Event::RequestFailed, "tokens" => tokens,
                     "recovered" => recovered, "outcome" => format!("{:?}", done.outcome));
             }
         }
