--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -102,7 +102,7 @@
             let state = &self.ctx.state;
             state.meter.requests(1, Outcome::Cancelled);
             let ms = millis(clock::now().since(self.ctx.arrived));
-            emit!(state.log, Event::RequestCutShort, "request" => &*self.ctx.id, "ms" => ms, "events" => self.events_forwarded);
+            emit!(state.log, Event::RequestCancelled, "request" => &*self.ctx.id, "ms" => ms, "events" => self.events_forwarded);
         }
     }
 }
--- a/mimosashift/src/event/table.rs
+++ b/mimosashift/src/event/table.rs
@@ -96,7 +96,7 @@
     RequestRefused "MS0602" Info "request refused", "A request was refused before any of it ran.";
     RequestShed "MS0603" Warning "request shed", "A queued request was dropped before it ran, to make room.";
     RequestFailed "MS0604" Error "request failed", "A request failed after its retries or deadline were used up.";
-    RequestCutShort "MS0605" Warning "request cancelled", "The caller disconnected, and the rest of the work was cancelled.";
+    RequestCancelled "MS0605" Warning "request cancelled", "The caller disconnected, and the rest of the work was cancelled.";
     ReplyDropped "MS0606" Debug "reply dropped", "A reply was late, duplicate or for another step and was not used.";
     RetryBudgetExhausted "MS0607" Warning "retry budget exhausted", "More requests failed than the retry budget allows to be sent again.";
     RequestSent "MS0611" Info "request sent", "A request was sent to an endpoint.";
--- a/mimosashift/src/node/callers.rs
+++ b/mimosashift/src/node/callers.rs
@@ -195,7 +195,7 @@
         match &done.outcome {
             Outcome::Complete => {}
             Outcome::Cancelled => {
-                emit!(self.0.log, Event::RequestCutShort, "tokens" => tokens);
+                emit!(self.0.log, Event::RequestCancelled, "tokens" => tokens);
             }
             Outcome::Failed { .. } | Outcome::DeadlineExceeded { .. } => {
                 emit!(self.0.log, Event::RequestFailed, "tokens" => tokens,
