--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -239,6 +239,6 @@
             Outcome::NotDone(refusal) => format!("{refusal:?}"),
             _ => "no answer".to_owned(),
         };
-        emit!(state.log, Event::StoreLost, "reason" => reason);
+        emit!(state.log, Event::StoreUnavailable, "reason" => reason);
     }
 }
--- a/mimosashift/src/event/table.rs
+++ b/mimosashift/src/event/table.rs
@@ -123,7 +123,7 @@
     BreakerOpened "MS0901" Error "platform breaker opened", "Calls to the platform fail and are suspended for a while.";
     BreakerClosed "MS0902" Info "platform breaker closed", "The platform answers again.";
     OverBudget "MS0903" Warning "platform budget used up", "This router's share of the platform's rate limit is used up; calls were held back.";
-    StoreLost "MS0911" Error "store unavailable", "Calls to the store fail.";
+    StoreUnavailable "MS0911" Error "store unavailable", "Calls to the store fail.";
     StoreRegained "MS0912" Info "store available again", "The store answers again.";
     ConfigUnreadable "MS0913" Error "configuration unreadable", "The store holds a configuration that cannot be decoded.";
     ConfigFetched "MS0914" Info "configuration fetched from a peer", "A peer holds a newer configuration and the store cannot be reached.";
