--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -231,7 +231,7 @@
     if answered {
         if state.store_lost.replace(false) {
             let outage_ms = last_answer.map(|at| millis(now.since(at)));
-            emit!(state.log, Event::StoreRegained, "away_ms" => outage_ms);
+            emit!(state.log, Event::StoreAvailable, "away_ms" => outage_ms);
         }
         state.last_store_answer.set(Some(now));
     } else if !state.store_lost.replace(true) {
--- a/mimosashift/src/event/table.rs
+++ b/mimosashift/src/event/table.rs
@@ -124,7 +124,7 @@
     BreakerClosed "MS0902" Info "platform breaker closed", "The platform answers again.";
     OverBudget "MS0903" Warning "platform budget used up", "This router's share of the platform's rate limit is used up; calls were held back.";
     StoreUnavailable "MS0911" Error "store unavailable", "Calls to the store fail.";
-    StoreRegained "MS0912" Info "store available again", "The store answers again.";
+    StoreAvailable "MS0912" Info "store available again", "The store answers again.";
     ConfigUnreadable "MS0913" Error "configuration unreadable", "The store holds a configuration that cannot be decoded.";
     ConfigFetched "MS0914" Info "configuration fetched from a peer", "A peer holds a newer configuration and the store cannot be reached.";
 }
