--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -168,7 +168,7 @@
         self.state.meter.leases(u64::from(leads));
         if leads {
             let token = self.lease.as_ref().and_then(|l| l.authorize(true, clock::now()));
-            emit!(self.state.log, Event::LeaseTaken, "fencing_token" => token.map(|n| n.0));
+            emit!(self.state.log, Event::LeaseAcquired, "fencing_token" => token.map(|n| n.0));
         } else {
             emit!(self.state.log, Event::LeaseLost, "stopping" => self.state.stopping.get());
             self.state.meter.lost_leases(1);
--- a/mimosashift/src/event/table.rs
+++ b/mimosashift/src/event/table.rs
@@ -113,7 +113,7 @@
     PostingWithdrawn "MS0704" Info "posting withdrawn", "A claim was withdrawn because nothing had been sent.";
     PostingMismatch "MS0705" Warning "posting mismatch", "An idempotency key was used again with a different request.";
 
-    LeaseTaken "MS0801" Info "lease acquired", "This router holds the lease of a group of endpoints.";
+    LeaseAcquired "MS0801" Info "lease acquired", "This router holds the lease of a group of endpoints.";
     LeaseLost "MS0802" Warning "lease lost", "This router no longer holds a lease and sends no more orders for it.";
     OrderSent "MS0803" Info "order sent", "An order was sent to an endpoint.";
     OrderObserved "MS0804" Info "order observed", "The endpoint reports the ordered state.";
