--- a/mimosashift/src/settings/table.rs
+++ b/mimosashift/src/settings/table.rs
@@ -50,7 +50,7 @@
             }
 
             /// Sets each setting that has no value yet from its environment variable.
-            pub fn fill(mut self, env: impl Fn(&str) -> Option<String>) -> Self {
+            pub fn fill_from_env(mut self, env: impl Fn(&str) -> Option<String>) -> Self {
                 $(if self.$field.is_none() {
                     self.$field = env(&env_name($flag));
                 })*
--- a/mimosashift/tests/settings.rs
+++ b/mimosashift/tests/settings.rs
@@ -114,7 +114,7 @@
         "MIMOSASHIFT_DRAIN_MS" => Some("7".to_owned()),
         _ => None,
     };
-    let settings = Settings::try_from(minimal_settings().fill(env)).unwrap();
+    let settings = Settings::try_from(minimal_settings().fill_from_env(env)).unwrap();
     assert_eq!(settings.node.name.as_str(), "r1");
     assert_eq!(settings.node.drain, Duration::from_millis(7));
 }
--- a/mimosashiftd/src/main.rs
+++ b/mimosashiftd/src/main.rs
@@ -34,7 +34,7 @@
         Ok(Command::Run(raw)) => (raw, false),
         Err(error) => return stop(EXIT_USAGE, &error),
     };
-    match Settings::try_from(raw.fill(|name| std::env::var(name).ok())) {
+    match Settings::try_from(raw.fill_from_env(|name| std::env::var(name).ok())) {
         Ok(_) if check => ExitCode::SUCCESS,
         Ok(settings) => run(&settings),
         Err(error) => stop(EXIT_USAGE, &error),
