--- a/mimosashift/src/settings/check.rs
+++ b/mimosashift/src/settings/check.rs
@@ -34,7 +34,7 @@
         raw: Option<String>,
         parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
-        let setting = Setting::of(flag).expect("SETTINGS has a row for each field of Raw");
+        let setting = Setting::find(flag).expect("SETTINGS has a row for each field of Raw");
         let Some(text) = raw.as_deref().or(setting.default) else {
             self.problems.push(Problem::Missing { flag, rule: setting.rule });
             return None;
--- a/mimosashift/src/settings/table.rs
+++ b/mimosashift/src/settings/table.rs
@@ -87,7 +87,7 @@
     }
 
     /// Finds the setting with the given flag name.
-    pub fn of(flag: &str) -> Option<&'static Self> {
+    pub fn find(flag: &str) -> Option<&'static Self> {
         SETTINGS.iter().find(|setting| setting.flag == flag)
     }
 
--- a/mimosashift/tests/settings.rs
+++ b/mimosashift/tests/settings.rs
@@ -31,7 +31,7 @@
         #[test]
         fn $case() {
             let error = error_for($flag, $value);
-            let setting = Setting::of($flag).unwrap();
+            let setting = Setting::find($flag).unwrap();
             assert_eq!(error.lines().count(), 1, "{error}");
             assert!(error.contains(concat!("--", $flag, " (")), "{error}");
             assert!(error.contains(&setting.env()) && error.contains(setting.rule), "{error}");
