--- a/mimosafront/src/main.rs
+++ b/mimosafront/src/main.rs
@@ -8,7 +8,7 @@
 use mimosafront::settings::SettingsFile;
 use mimosashift::event;
 use mimosashift::meter::Meter;
-use mimosashift::settings::{Form, Log};
+use mimosashift::settings::{Format, Log};
 
 /// Exit code when the router fails to start.
 const EXIT_START_FAILED: u8 = 1;
@@ -33,7 +33,7 @@
     if flags.check {
         return ExitCode::SUCCESS;
     }
-    let log = Log { form: Form::Json, level: event::Level::Info };
+    let log = Log { format: Format::Json, level: event::Level::Info };
     let (log, _guard) = event::logger_to(&log, std::io::stdout());
     let meter = match Meter::new() {
         Ok(meter) => meter,
--- a/mimosashift/src/event/log.rs
+++ b/mimosashift/src/event/log.rs
@@ -6,7 +6,7 @@
 use slog_async::{Async, OverflowStrategy};
 
 use super::Event;
-use crate::settings::{Form, Log};
+use crate::settings::{Format, Log};
 
 pub use slog::Logger;
 
@@ -26,13 +26,13 @@
 /// Logging never blocks on the stream: when the queue is full, events are
 /// dropped and their number is reported.
 pub fn logger_to<W: Write + Send + 'static>(settings: &Log, stream: W) -> (Logger, Guard) {
-    match settings.form {
-        Form::Terminal => {
+    match settings.format {
+        Format::Terminal => {
             let decorator = slog_term::PlainSyncDecorator::new(stream);
             let format = slog_term::FullFormat::new(decorator);
             async_logger(settings, format.use_utc_timestamp().use_original_order().build().fuse())
         }
-        Form::Json => async_logger(settings, slog_json::Json::default(stream).fuse()),
+        Format::Json => async_logger(settings, slog_json::Json::default(stream).fuse()),
     }
 }
 
--- a/mimosashift/src/settings/check.rs
+++ b/mimosashift/src/settings/check.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use super::{
-    Caller, Digest, Error, Form, KEY_BYTES, Key, Log, Node, Operator, Peer, Platform, Problem, Raw,
-    Setting, Settings,
+    Caller, Digest, Error, Format, KEY_BYTES, Key, Log, Node, Operator, Peer, Platform, Problem,
+    Raw, Setting, Settings,
 };
 use crate::resource::Name;
 
@@ -124,13 +124,13 @@
     }
 
     fn log(&mut self, raw: &mut Raw) -> Option<Log> {
-        let form = self.parse("log-form", raw.log_form.take(), |text| match text {
-            "terminal" => Some(Form::Terminal),
-            "json" => Some(Form::Json),
+        let format = self.parse("log-form", raw.log_form.take(), |text| match text {
+            "terminal" => Some(Format::Terminal),
+            "json" => Some(Format::Json),
             _ => None,
         });
         let level = self.parse("log-level", raw.log_level.take(), |text| text.parse().ok());
-        Some(Log { form: form?, level: level? })
+        Some(Log { format: format?, level: level? })
     }
 }
 
--- a/mimosashift/src/settings/mod.rs
+++ b/mimosashift/src/settings/mod.rs
@@ -121,14 +121,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Log {
     /// Format of each line.
-    pub form: Form,
+    pub format: Format,
     /// Least severe level that is logged.
     pub level: slog::Level,
 }
 
 /// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Format {
     /// Human-readable text.
     Terminal,
     /// One JSON object per line.
--- a/mimosashift/tests/event.rs
+++ b/mimosashift/tests/event.rs
@@ -5,7 +5,7 @@
 
 use mimosashift::emit;
 use mimosashift::event::{self, Event, Level};
-use mimosashift::settings::{Form, Log};
+use mimosashift::settings::{Format, Log};
 
 const EVENTS_DOC: &str = include_str!("../../docs/EVENTS.md");
 
@@ -22,9 +22,9 @@
     }
 }
 
-fn log_output(form: Form, level: Level, emit: impl FnOnce(&event::Logger)) -> String {
+fn log_output(format: Format, level: Level, emit: impl FnOnce(&event::Logger)) -> String {
     let buffer = SharedBuffer::default();
-    let (logger, guard) = event::logger_to(&Log { form, level }, buffer.clone());
+    let (logger, guard) = event::logger_to(&Log { format, level }, buffer.clone());
     emit(&logger);
     drop(logger);
     drop(guard);
@@ -74,7 +74,7 @@
 
 #[test]
 fn json_line_contains_id_and_details() {
-    let text = log_output(Form::Json, Level::Info, |log| {
+    let text = log_output(Format::Json, Level::Info, |log| {
         emit!(log, Event::ConfigInstalled, "revision" => 7, "source" => "peer");
     });
     let line: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -86,7 +86,7 @@
 
 #[test]
 fn terminal_line_contains_id_and_details() {
-    let text = log_output(Form::Terminal, Level::Info, |log| {
+    let text = log_output(Format::Terminal, Level::Info, |log| {
         emit!(log, Event::MemberDead, "member" => "b");
     });
     assert!(text.contains("member dead") && text.contains("MS0403"), "{text}");
@@ -95,7 +95,7 @@
 
 #[test]
 fn events_below_the_log_level_are_omitted() {
-    let text = log_output(Form::Json, Level::Warning, |log| {
+    let text = log_output(Format::Json, Level::Warning, |log| {
         emit!(log, Event::NodeReady);
         emit!(log, Event::MemberSuspect);
     });
--- a/mimosashift/tests/settings.rs
+++ b/mimosashift/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mimosashift::settings::{Form, Raw, SETTINGS, Setting, Settings};
+use mimosashift::settings::{Format, Raw, SETTINGS, Setting, Settings};
 
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
@@ -101,7 +101,7 @@
 fn defaults_apply() {
     let settings = Settings::try_from(minimal_settings()).unwrap();
     assert_eq!(settings.platform.url, "http://127.0.0.1:9000");
-    assert_eq!(settings.log.form, Form::Terminal);
+    assert_eq!(settings.log.format, Format::Terminal);
     assert_eq!(settings.node.drain, Duration::from_secs(120));
     assert_eq!(settings.caller.max_concurrent, 4_096);
     assert!(settings.peer.peers.is_empty() && settings.operator.bootstrap_digest.is_none());
--- a/mimosastandin/src/demo/mod.rs
+++ b/mimosastandin/src/demo/mod.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use mimosashift::event;
-use mimosashift::settings::{Form, Log};
+use mimosashift::settings::{Format, Log};
 use quick_error::quick_error;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -48,7 +48,7 @@
 
 /// Runs the sample, then serves until a signal unless told otherwise.
 pub fn run(plan: Plan) -> Result<(), Error> {
-    let settings = Log { form: Form::Terminal, level: event::Level::Warning };
+    let settings = Log { format: Format::Terminal, level: event::Level::Warning };
     let (log, _guard) = event::logger(&settings);
     let world = World::start(&log)?;
     print_addresses(&world);
