--- a/mimosashiftd/src/flags.rs
+++ b/mimosashiftd/src/flags.rs
@@ -1,23 +1,23 @@
-//! Reads the daemon's flags by the table of settings.
+//! Parses the daemon's command line; the flags come from the table of settings.
 
 use std::ffi::OsString;
 
 use mimosashift::settings::Raw;
 use xflags::rt::Parser;
 
-/// What the command line asks for.
+/// The action that the command line requests.
 pub enum Command {
     /// Print the help text.
     Help,
-    /// Check these settings and exit.
+    /// Validate these settings and exit.
     Check(Box<Raw>),
     /// Run with these settings.
     Run(Box<Raw>),
 }
 
-/// Reads the arguments after the program's name.
+/// Parses the arguments, without the program name.
 ///
-/// A flag's value follows as the next argument or after `=`.
+/// A flag's value is the next argument or the text after `=`.
 pub fn parse(args: Vec<OsString>) -> xflags::Result<Command> {
     let mut raw = Box::<Raw>::default();
     let mut check = false;
@@ -40,8 +40,8 @@
             }
         };
         let name = flag.strip_prefix("--").unwrap_or_default();
-        let before = raw.set(name, value).map_err(|_| parser.unexpected_flag(&flag))?;
-        if before.is_some() {
+        let previous = raw.set(name, value).map_err(|_| parser.unexpected_flag(&flag))?;
+        if previous.is_some() {
             return Err(xflags::Error::new(format!("flag specified more than once: `{flag}`")));
         }
     }
--- a/mimosashiftd/src/main.rs
+++ b/mimosashiftd/src/main.rs
@@ -14,30 +14,30 @@
 
 mod flags;
 
-/// Exit code when the router cannot start.
+/// Exit code if the router cannot start.
 const EXIT_START: u8 = 1;
 
-/// Exit code when the settings are wrong.
+/// Exit code if the flags or settings are invalid.
 const EXIT_USAGE: u8 = 2;
 
-/// Exit code when the drain time ended before every request was answered.
+/// Exit code if the drain time ended before every request was answered.
 const EXIT_CUT_OFF: u8 = 3;
 
 fn main() -> ExitCode {
     let args = std::env::args_os().skip(1).collect();
-    let (raw, check) = match flags::parse(args) {
+    let (raw, check_only) = match flags::parse(args) {
         Ok(Command::Help) => {
             print_help();
             return ExitCode::SUCCESS;
         }
         Ok(Command::Check(raw)) => (raw, true),
         Ok(Command::Run(raw)) => (raw, false),
-        Err(error) => return stop(EXIT_USAGE, &error),
+        Err(error) => return exit_with_error(EXIT_USAGE, &error),
     };
     match Settings::try_from(raw.fill_from_env(|name| std::env::var(name).ok())) {
-        Ok(_) if check => ExitCode::SUCCESS,
+        Ok(_) if check_only => ExitCode::SUCCESS,
         Ok(settings) => run(&settings),
-        Err(error) => stop(EXIT_USAGE, &error),
+        Err(error) => exit_with_error(EXIT_USAGE, &error),
     }
 }
 
@@ -49,15 +49,15 @@
 
 fn run(settings: &Settings) -> ExitCode {
     let (log, _guard) = event::logger(&settings.log);
-    // Signals that arrive from here on are kept until they are waited for.
+    // Registered before the start, so that a signal during it is not lost.
     let mut signals = match Signals::new([SIGTERM, SIGINT]) {
         Ok(signals) => signals,
-        Err(error) => return stop(EXIT_START, &error),
+        Err(error) => return exit_with_error(EXIT_START, &error),
     };
     let started = node::Settings::try_from(settings).and_then(|s| Running::start(s, log.clone()));
     let router = match started {
         Ok(router) => router,
-        Err(error) => return stop(EXIT_START, &error),
+        Err(error) => return exit_with_error(EXIT_START, &error),
     };
     let handle = signals.handle();
     let drain = router.drain_handle();
@@ -72,7 +72,7 @@
     if cut_off == 0 { ExitCode::SUCCESS } else { ExitCode::from(EXIT_CUT_OFF) }
 }
 
-fn stop(code: u8, error: &dyn Display) -> ExitCode {
+fn exit_with_error(code: u8, error: &dyn Display) -> ExitCode {
     eprintln!("mimosashiftd: {error}");
     ExitCode::from(code)
 }
--- a/mimosashiftd/tests/cluster.rs
+++ b/mimosashiftd/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Routers as processes, before one platform.
+//! Tests of router processes that share one platform.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -12,27 +12,27 @@
 use sha2::{Digest, Sha256};
 use ureq::http::Method;
 
-/// Longest wait for something that must happen.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Time limit for each awaited condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Times that a router is started when its ports are taken.
-const START_TRIES: usize = 5;
+/// Attempts to start a router; another process may take a port in between.
+const START_ATTEMPTS: usize = 5;
 
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+const EPHEMERAL: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-const TOKEN: &str = "operator-token";
+const OPERATOR_TOKEN: &str = "operator-token";
 
 const DOMAINS: [&str; 2] = ["a", "b"];
 
 struct Router {
     process: Child,
-    callers: SocketAddr,
-    operators: SocketAddr,
-    peers: SocketAddr,
+    caller_address: SocketAddr,
+    operator_address: SocketAddr,
+    peer_address: SocketAddr,
 }
 
 struct Cluster {
@@ -42,13 +42,13 @@
 }
 
 impl Cluster {
-    /// Routers in two failure domains, all ready.
+    /// Starts routers in two failure domains and waits until all are ready.
     fn start(routers: usize) -> Self {
-        let platform = platform::Instance::start(ANY, platform::Rates::default()).unwrap();
+        let platform = platform::Instance::start(EPHEMERAL, platform::Rates::default()).unwrap();
         let client = Client::new(Settings::default());
         let mut cluster = Self { platform, routers: Vec::new(), client };
         for _ in 0..routers {
-            cluster.add();
+            cluster.start_router();
         }
         for index in 0..routers {
             cluster.wait_ready(index);
@@ -56,25 +56,30 @@
         cluster
     }
 
-    /// Starts one more router, which greets the first one only.
+    /// Starts another router, whose only initial peer is the first one.
     ///
-    /// Tries again with other ports when some program took one in between.
-    fn add(&mut self) -> usize {
+    /// Retries with other ports if another process took one in between.
+    fn start_router(&mut self) -> usize {
         let index = self.routers.len();
-        let started = (0..START_TRIES).find_map(|_| self.try_start(index));
-        self.routers.push(started.expect("no router started"));
+        let started = (0..START_ATTEMPTS).find_map(|_| self.try_start_router(index));
+        self.routers.push(started.expect("the router did not start"));
         index
     }
 
-    fn try_start(&self, index: usize) -> Option<Router> {
-        let [callers, operators, peers] = [free_address(), free_address(), free_address()];
-        let seed = self.routers.first().map_or(String::new(), |first| first.peers.to_string());
-        let digest = hex::encode(Sha256::digest(TOKEN));
+    fn try_start_router(&self, index: usize) -> Option<Router> {
+        let [caller_address, operator_address, peer_address] =
+            [free_address(), free_address(), free_address()];
+        let seed =
+            self.routers.first().map_or(String::new(), |first| first.peer_address.to_string());
+        let digest = hex::encode(Sha256::digest(OPERATOR_TOKEN));
         let process = Command::new(env!("CARGO_BIN_EXE_mimosashiftd"))
             .env_clear()
             .args([format!("--node=r{index}"), format!("--domain={}", DOMAINS[index % 2])])
-            .args(["--region=lk-west".to_owned(), format!("--listen={callers}")])
-            .args([format!("--operator-listen={operators}"), format!("--peer-address={peers}")])
+            .args(["--region=lk-west".to_owned(), format!("--listen={caller_address}")])
+            .args([
+                format!("--operator-listen={operator_address}"),
+                format!("--peer-address={peer_address}"),
+            ])
             .args([format!("--peers={seed}"), format!("--peer-keys=1:{}", "ab".repeat(32))])
             .arg(format!("--platform-url=http://{}", self.platform.address()))
             .arg(format!("--bootstrap-token-digest={digest}"))
@@ -82,13 +87,13 @@
             .stdout(Stdio::null())
             .spawn()
             .unwrap();
-        let mut router = Router { process, callers, operators, peers };
-        let mut ended = false;
-        let listens = until(|| {
-            ended = router.process.try_wait().unwrap().is_some();
-            ended || TcpStream::connect(operators).is_ok()
+        let mut router = Router { process, caller_address, operator_address, peer_address };
+        let mut exited = false;
+        let listens = wait_until(|| {
+            exited = router.process.try_wait().unwrap().is_some();
+            exited || TcpStream::connect(operator_address).is_ok()
         });
-        (listens && !ended).then_some(router)
+        (listens && !exited).then_some(router)
     }
 
     fn send(
@@ -99,11 +104,11 @@
         headers: &[(&str, &str)],
         body: &str,
     ) -> Answer {
-        let bearer = format!("Bearer {TOKEN}");
+        let bearer = format!("Bearer {OPERATOR_TOKEN}");
         let mut headers = headers.to_vec();
         headers.push(("authorization", &bearer));
         let call = Call {
-            address: self.routers[index].operators,
+            address: self.routers[index].operator_address,
             method,
             path,
             headers: &headers,
@@ -120,10 +125,11 @@
         json(&answer)
     }
 
-    /// What the balancer sees; `None` while the router does not listen yet.
-    fn ready(&self, index: usize) -> Option<Answer> {
+    /// Response of `/readyz`, as a load balancer sees it; `None` before the
+    /// router listens.
+    fn readiness(&self, index: usize) -> Option<Answer> {
         let call = Call {
-            address: self.routers[index].callers,
+            address: self.routers[index].caller_address,
             method: Method::GET,
             path: "/readyz",
             headers: &[],
@@ -134,18 +140,18 @@
         self.client.call(&call).ok()
     }
 
-    /// Waits until a router uses the platform again after an outage.
+    /// Waits until a router can read from the platform again after an outage.
     fn wait_platform(&self, index: usize) {
         let read = || self.send(index, Method::GET, "/api/v1/audit?limit=1", &[], "");
-        wait(&format!("router {index} reads the platform"), || read().status.is_success());
+        wait_for(&format!("router {index} reads the platform"), || read().status.is_success());
     }
 
     fn wait_ready(&self, index: usize) {
-        let ready = || self.ready(index).is_some_and(|answer| answer.status.is_success());
-        wait(&format!("router {index} is ready"), ready);
+        let ready = || self.readiness(index).is_some_and(|answer| answer.status.is_success());
+        wait_for(&format!("router {index} is ready"), ready);
     }
 
-    /// Declares a priority and returns its revision.
+    /// Stores a priority and returns its revision.
     fn put(&self, index: usize, name: &str, level: usize) -> u64 {
         let answer = self.try_put(index, name, level, &[]);
         assert!(answer.status.is_success(), "{}", text(&answer));
@@ -163,22 +169,25 @@
     }
 
     fn wait_revision(&self, index: usize, revision: u64) {
-        wait(&format!("router {index} installs {revision}"), || self.revision(index) >= revision);
+        wait_for(&format!("router {index} installs {revision}"), || {
+            self.revision(index) >= revision
+        });
     }
 
-    /// Waits until a router counts `live` live routers, all with the revision.
+    /// Waits until a router counts `live` live routers, all with the revision
+    /// installed.
     fn wait_in_force(&self, index: usize, revision: u64, live: u64) {
         let path = format!("/api/v1/in-force?revision={revision}");
         let mut last = Value::Null;
-        let counted = until(|| {
+        let counted = wait_until(|| {
             last = self.get(index, &path)["domains"].take();
             sum(&last, "installed") == live && sum(&last, "live") == live
         });
-        assert!(counted, "router {index} counts {last} of revision {revision}");
+        assert!(counted, "router {index}: revision {revision} is installed on {last}");
     }
 
-    /// The ids of changes of a priority in the audit trail.
-    fn audited(&self, index: usize, name: &str) -> Vec<String> {
+    /// Ids of the changes of a priority in the audit trail.
+    fn audited_changes(&self, index: usize, name: &str) -> Vec<String> {
         let audit = self.get(index, &format!("/api/v1/audit?kind=priority&name={name}"));
         let items = audit["items"].as_array().unwrap().iter();
         items.map(|item| item["change"].as_str().unwrap().to_owned()).collect()
@@ -190,11 +199,11 @@
     }
 
     fn watch(&self, index: usize, after: u64) -> Watch {
-        let mut stream = TcpStream::connect(self.routers[index].operators).unwrap();
-        stream.set_read_timeout(Some(LIMIT)).unwrap();
+        let mut stream = TcpStream::connect(self.routers[index].operator_address).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let head = format!(
             "GET /api/v1/watch?after={after} HTTP/1.1\r\nhost: r\r\n\
-             authorization: Bearer {TOKEN}\r\n\r\n"
+             authorization: Bearer {OPERATOR_TOKEN}\r\n\r\n"
         );
         stream.write_all(head.as_bytes()).unwrap();
         Watch(BufReader::new(stream))
@@ -210,22 +219,22 @@
     }
 }
 
-/// An open watch, read as raw lines; headers and chunk lengths are passed over.
+/// An open watch, read line by line; headers and chunk lengths are skipped.
 struct Watch(BufReader<TcpStream>);
 
 impl Watch {
     fn next(&mut self) -> Value {
         loop {
             let mut line = String::new();
-            assert!(self.0.read_line(&mut line).unwrap() > 0, "the watch ended");
+            assert!(self.0.read_line(&mut line).unwrap() > 0, "the watch stream ended");
             if line.starts_with('{') {
                 return serde_json::from_str(&line).unwrap();
             }
         }
     }
 
-    /// Reads on; returns whether the body ended as whole.
-    fn ends_whole(mut self) -> bool {
+    /// Reads the rest; returns whether the chunked body ended with its last chunk.
+    fn ends_with_last_chunk(mut self) -> bool {
         let mut rest = String::new();
         let _ = self.0.read_to_string(&mut rest);
         rest.ends_with("0\r\n\r\n")
@@ -254,7 +263,7 @@
 }
 
 #[test]
-fn platform_outage_refuses_changes_and_keeps_what_is_in_force() {
+fn platform_outage_refuses_changes_and_keeps_the_configuration() {
     let mut cluster = Cluster::start(4);
     let revision = cluster.put(0, "urgent", 0);
     for index in 0..4 {
@@ -265,32 +274,37 @@
     assert_eq!(refused.status.as_u16(), 503, "{}", text(&refused));
     let effect = json(&refused)["effect"].clone();
     assert_eq!(cluster.get(1, "/api/v1/priority/urgent")["spec"]["level"], 0);
-    let fifth = cluster.add();
-    cluster.wait_ready(fifth);
-    assert_eq!(cluster.get(fifth, "/api/v1/priority/urgent")["spec"]["level"], 0);
+    let added = cluster.start_router();
+    cluster.wait_ready(added);
+    assert_eq!(cluster.get(added, "/api/v1/priority/urgent")["spec"]["level"], 0);
     cluster.platform.set_fault(Fault::None);
     cluster.wait_platform(1);
-    cluster.wait_platform(fifth);
-    // Only a change that was called unknown may have taken effect.
-    let found = cluster.audited(1, "later").len();
-    assert!(effect == "unknown" || (effect == "not-run" && found == 0), "{effect}, {found} found");
-    let after = cluster.put(fifth, "later", 6);
+    cluster.wait_platform(added);
+    // Only a change with the effect `unknown` may have taken effect.
+    let recorded = cluster.audited_changes(1, "later").len();
+    assert!(
+        effect == "unknown" || (effect == "not-run" && recorded == 0),
+        "{effect}, {recorded} found"
+    );
+    let after = cluster.put(added, "later", 6);
     cluster.wait_revision(0, after);
 }
 
 #[test]
-fn router_alone_without_platform_refuses() {
+fn single_router_without_platform_is_not_ready() {
     let mut cluster = Cluster::start(0);
     cluster.platform.set_fault(Fault::Down);
-    let only = cluster.add();
-    wait("the router has asked in vain", || {
-        cluster.ready(only).is_some_and(|a| text(&a).contains("neither the table nor a router"))
+    let router = cluster.start_router();
+    wait_for("the router finds no configuration source", || {
+        cluster
+            .readiness(router)
+            .is_some_and(|a| text(&a).contains("neither the table nor a router"))
     });
-    let answer = cluster.ready(only).unwrap();
+    let answer = cluster.readiness(router).unwrap();
     assert_eq!((answer.status.as_u16(), &json(&answer)["code"]), (503, &json!("not-ready")));
     assert_eq!(json(&answer)["effect"], "not-run");
     cluster.platform.set_fault(Fault::None);
-    cluster.wait_ready(only);
+    cluster.wait_ready(router);
 }
 
 #[test]
@@ -306,7 +320,7 @@
 }
 
 #[test]
-fn one_of_two_racing_operators_wins() {
+fn one_of_two_concurrent_changes_is_committed() {
     let cluster = Cluster::start(2);
     let first = cluster.put(0, "urgent", 0);
     for round in 0..10 {
@@ -314,42 +328,48 @@
         cluster.wait_revision(1, revision);
         let tag = format!("\"{revision}\"");
         let answers = thread::scope(|scope| {
-            let racers = [0, 1].map(|index| {
+            let changes = [0, 1].map(|index| {
                 let (cluster, tag) = (&cluster, &tag);
                 let level = 2 * round + 1 + index;
                 scope.spawn(move || cluster.try_put(index, "urgent", level, &[("if-match", tag)]))
             });
-            racers.map(|racer| racer.join().unwrap())
+            changes.map(|change| change.join().unwrap())
         });
         let won = answers.iter().filter(|answer| answer.status.is_success()).count();
         let lost = answers.iter().filter(|answer| answer.status.as_u16() == 412).count();
         assert_eq!((won, lost), (1, 1), "{} {}", text(&answers[0]), text(&answers[1]));
     }
-    assert_eq!(cluster.audited(0, "urgent").len(), 11);
+    assert_eq!(cluster.audited_changes(0, "urgent").len(), 11);
 }
 
 #[test]
-fn lost_answers_are_told_by_the_audit_trail() {
+fn lost_answers_agree_with_the_audit_trail() {
     let cluster = Cluster::start(2);
     cluster.platform.set_fault(Fault::LoseAnswers);
-    let told: Vec<Value> =
+    let answers: Vec<Value> =
         (0..5).map(|i| json(&cluster.try_put(i % 2, &format!("p{i}"), 1, &[]))).collect();
     cluster.platform.set_fault(Fault::None);
     cluster.wait_platform(0);
-    for (round, answer) in told.iter().enumerate() {
-        let found = cluster.audited(0, &format!("p{round}"));
-        assert!(found.len() <= 1, "change {round} took effect {} times", found.len());
+    for (round, answer) in answers.iter().enumerate() {
+        let recorded = cluster.audited_changes(0, &format!("p{round}"));
+        assert!(recorded.len() <= 1, "change {round} took effect {} times", recorded.len());
         if let Some(change) = answer["change"].as_str() {
-            assert_eq!(found, [change], "a change reported done is in the trail");
+            assert_eq!(recorded, [change], "an accepted change is not in the audit trail");
             continue;
         }
         if answer["effect"] == "not-run" {
-            assert!(found.is_empty(), "change {round} was refused, and the trail has {found:?}");
+            assert!(
+                recorded.is_empty(),
+                "change {round} was reported not run, but the audit trail has {recorded:?}"
+            );
             continue;
         }
         assert_eq!(answer["effect"], "unknown", "{answer}");
         let detail = answer["detail"].as_str().unwrap();
-        assert!(found.iter().all(|id| detail.contains(id)), "{detail} names {found:?}");
+        assert!(
+            recorded.iter().all(|id| detail.contains(id)),
+            "{detail} does not name {recorded:?}"
+        );
     }
 }
 
@@ -367,18 +387,18 @@
     let change = resumed.next();
     assert_eq!((&change["revision"], &change["spec"]["level"]), (&json!(third), &json!(2)));
     cluster.signal(1, "-TERM");
-    assert!(resumed.ends_whole());
+    assert!(resumed.ends_with_last_chunk());
 }
 
 #[test]
-fn watch_from_a_forgotten_revision_is_gone() {
+fn watch_from_an_unavailable_revision_is_gone() {
     let mut cluster = Cluster::start(1);
     cluster.put(0, "urgent", 0);
     let revision = cluster.put(0, "urgent", 1);
-    // The second router hears nobody: it loads the resources from the table
-    // and has no records of what came before.
+    // The second router reaches no peer: it loads the resources from the table
+    // and has no records of earlier revisions.
     cluster.signal(0, "-STOP");
-    let late = cluster.add();
+    let late = cluster.start_router();
     cluster.wait_ready(late);
     assert_eq!(cluster.revision(late), revision);
     let answer = cluster.send(late, Method::GET, "/api/v1/watch?after=1", &[], "");
@@ -410,18 +430,19 @@
     cluster.wait_in_force(0, 0, 1);
 }
 
-/// Prints what an idle cluster costs; only the absence of writes is a rule.
+/// An idle cluster must not write to the table. The read rate and peer traffic
+/// are printed but not checked.
 #[test]
 fn idle_cluster_writes_nothing() {
-    const MEASURED: Duration = Duration::from_secs(10);
+    const MEASURE_TIME: Duration = Duration::from_secs(10);
     let cluster = Cluster::start(4);
     let revision = cluster.put(0, "urgent", 0);
     cluster.wait_in_force(0, revision, 4);
     let sent = |index| cluster.get(index, "/api/v1/status")["peers"]["sent_bytes"].as_u64();
     let (before, bytes) = (cluster.platform.counts(), [0, 1, 2, 3].map(sent));
-    thread::sleep(MEASURED);
+    thread::sleep(MEASURE_TIME);
     let (after, bytes_after) = (cluster.platform.counts(), [0, 1, 2, 3].map(sent));
-    let seconds = MEASURED.as_secs_f64();
+    let seconds = MEASURE_TIME.as_secs_f64();
     let reads = (after.reads - before.reads) as f64 / seconds;
     let rates: Vec<f64> = bytes_after
         .iter()
@@ -432,20 +453,20 @@
     assert_eq!(after.rows_written, before.rows_written);
 }
 
-/// Waits until `condition` holds; false when that takes too long.
-fn until(mut condition: impl FnMut() -> bool) -> bool {
-    let end = Instant::now() + LIMIT;
+/// Waits until `condition` holds; returns whether it did within the time limit.
+fn wait_until(mut condition: impl FnMut() -> bool) -> bool {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         if Instant::now() > end {
             return false;
         }
-        thread::sleep(LOOK_INTERVAL);
+        thread::sleep(POLL_INTERVAL);
     }
     true
 }
 
-fn wait(what: &str, condition: impl FnMut() -> bool) {
-    assert!(until(condition), "gave up waiting until {what}");
+fn wait_for(what: &str, condition: impl FnMut() -> bool) {
+    assert!(wait_until(condition), "timed out waiting until {what}");
 }
 
 fn sum(domains: &Value, field: &str) -> u64 {
@@ -460,10 +481,10 @@
     String::from_utf8_lossy(&answer.body).into_owned()
 }
 
-/// An address free for datagrams and connections.
+/// A local address on which both TCP and UDP are free.
 fn free_address() -> SocketAddr {
     loop {
-        let address = TcpListener::bind(ANY).unwrap().local_addr().unwrap();
+        let address = TcpListener::bind(EPHEMERAL).unwrap().local_addr().unwrap();
         if UdpSocket::bind(address).is_ok() {
             return address;
         }
--- a/mimosashiftd/tests/common/mod.rs
+++ b/mimosashiftd/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Routers as processes before a platform and a service in the test process.
+//! Starts router processes; the platform and a service run in the test process.
 
-#![allow(dead_code)] // Each test program uses a part of it.
+#![allow(dead_code)] // Each test binary uses only some of these items.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -16,20 +16,20 @@
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 
-const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-const OPERATOR: &str = "operator-token";
-pub const CALLER: &str = "caller-token";
+const EPHEMERAL: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+const OPERATOR_TOKEN: &str = "operator-token";
+pub const CALLER_TOKEN: &str = "caller-token";
 
-/// Time for a router to start.
+/// Time limit for the start of a router and for calls to its operator API.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Times that a router is started when its ports are taken.
-const START_TRIES: usize = 5;
+/// Attempts to start a router; another process may take a port in between.
+const START_ATTEMPTS: usize = 5;
 
-/// Pause between two tries of a caller.
+/// Pause between two attempts of a caller.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Routers and what stands around them.
+/// Routers with their platform and service.
 pub struct Cluster {
     pub platform: platform::Instance,
     pub service: service::Instance,
@@ -37,16 +37,16 @@
     client: Client,
 }
 
-/// A router process; killed when it is dropped.
+/// A router process, killed on drop.
 pub struct Router {
     child: Child,
-    callers: SocketAddr,
-    operators: SocketAddr,
+    caller_address: SocketAddr,
+    operator_address: SocketAddr,
 }
 
-/// What a caller was told about one try.
+/// Result that a caller sees for one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum Reply {
     Success,
     Replayed,
     NotRun,
@@ -54,39 +54,39 @@
     Mismatch,
 }
 
-/// One posting and what each of its tries was told.
+/// One posting and the result of each attempt.
 pub struct History {
     pub body: String,
-    pub said: Vec<Said>,
+    pub replies: Vec<Reply>,
 }
 
-/// How callers post.
+/// Parameters of a load of concurrent callers.
 #[derive(Clone, Copy)]
 pub struct Load {
     pub callers: usize,
     pub postings: usize,
-    pub tries: usize,
+    pub max_attempts: usize,
     pub timeout: Duration,
 }
 
-/// What became of a number of postings.
+/// Numbers of postings by what callers saw and what ran.
 #[derive(Debug, Default)]
 pub struct Counts {
     pub posted: usize,
     pub run: usize,
-    pub doubled: usize,
+    pub duplicated: usize,
     pub lost: usize,
     pub refused: usize,
     pub unknown: usize,
-    /// Every try was told `not-run`, and it ran.
+    /// Every attempt reported `not-run`, but the posting ran.
     pub false_not_run: usize,
 }
 
 impl Cluster {
-    /// Starts routers that have installed one service.
+    /// Starts routers and configures one service.
     pub fn start(routers: usize) -> Self {
-        let platform = platform::Instance::start(ANY, platform::Rates::default()).unwrap();
-        let service = service::Instance::start(ANY).unwrap();
+        let platform = platform::Instance::start(EPHEMERAL, platform::Rates::default()).unwrap();
+        let service = service::Instance::start(EPHEMERAL).unwrap();
         let url = format!("http://{}", platform.address());
         let routers = (0..routers).map(|n| Router::start(n, &url)).collect();
         let client = Client::new(Default::default());
@@ -98,7 +98,7 @@
     }
 
     fn configure(&self, router: &Router) {
-        let digest = hex::encode(Sha256::digest(CALLER));
+        let digest = hex::encode(Sha256::digest(CALLER_TOKEN));
         let team = format!(r#"{{"priority":"urgent","token_digests":["{digest}"]}}"#);
         let address = self.service.address();
         let endpoint =
@@ -110,16 +110,22 @@
             ("endpoint/register-1", &endpoint),
         ] {
             let path = format!("/api/v1/{path}");
-            let answer = self.operate(router, Method::PUT, &path, spec);
+            let answer = self.call_operator_api(router, Method::PUT, &path, spec);
             assert!(answer.status.is_success(), "{}", String::from_utf8_lossy(&answer.body));
         }
     }
 
-    /// Calls a router as its operator.
-    pub fn operate(&self, router: &Router, method: Method, path: &str, body: &str) -> Answer {
-        let authorization = format!("Bearer {OPERATOR}");
+    /// Calls the operator API of a router.
+    pub fn call_operator_api(
+        &self,
+        router: &Router,
+        method: Method,
+        path: &str,
+        body: &str,
+    ) -> Answer {
+        let authorization = format!("Bearer {OPERATOR_TOKEN}");
         let call = Call {
-            address: router.operators,
+            address: router.operator_address,
             method,
             path,
             headers: &[("authorization", &authorization)],
@@ -130,7 +136,7 @@
         self.client.call(&call).unwrap()
     }
 
-    /// Posts `body` through one router.
+    /// Sends a posting with `body` through one router.
     pub fn post(
         &self,
         router: usize,
@@ -138,11 +144,11 @@
         body: &str,
         timeout: Duration,
     ) -> Result<Answer, Failure> {
-        let authorization = format!("Bearer {CALLER}");
+        let authorization = format!("Bearer {CALLER_TOKEN}");
         let mut headers = vec![("authorization", authorization.as_str())];
         headers.extend(key.map(|key| ("idempotency-key", key)));
         self.client.call(&Call {
-            address: self.routers[router].callers,
+            address: self.routers[router].caller_address,
             method: Method::POST,
             path: "/services/register/adjustments",
             headers: &headers,
@@ -152,70 +158,75 @@
         })
     }
 
-    /// Posts until the posting has run, at the next router after each failure.
+    /// Retries a posting until it has run, at the next router after each failure.
     pub fn post_until_run(&self, first: usize, body: &str, load: Load) -> History {
-        let mut said = Vec::new();
-        for attempt in 0..load.tries {
+        let mut replies = Vec::new();
+        for attempt in 0..load.max_attempts {
             let router = (first + attempt) % self.routers.len();
-            said.push(told(&self.post(router, Some(body), body, load.timeout)));
-            if matches!(said.last(), Some(Said::Success | Said::Replayed)) {
+            replies.push(classify(&self.post(router, Some(body), body, load.timeout)));
+            if matches!(replies.last(), Some(Reply::Success | Reply::Replayed)) {
                 break;
             }
             thread::sleep(RETRY_PAUSE);
         }
-        History { body: body.to_owned(), said }
+        History { body: body.to_owned(), replies }
     }
 
-    /// Posts from several callers at once while `disturb` runs.
-    pub fn load(&self, load: Load, disturb: impl FnOnce()) -> Vec<History> {
-        run(load, disturb, |caller, body| self.post_until_run(caller, &body, load))
+    /// Runs concurrent callers while `inject_faults` runs.
+    pub fn load(&self, load: Load, inject_faults: impl FnOnce()) -> Vec<History> {
+        run(load, inject_faults, |caller, body| self.post_until_run(caller, &body, load))
     }
 
-    /// Postings that have run so far.
+    /// Number of postings that have run so far.
     pub fn run_count(&self) -> usize {
         self.service.runs().len()
     }
 }
 
 impl Router {
-    /// Starts a router; tries again when another process takes its ports.
+    /// Starts a router; retries if another process takes its ports.
     fn start(number: usize, platform: &str) -> Self {
-        let started = (0..START_TRIES).find_map(|_| Self::try_start(number, platform));
-        started.expect("no router started")
+        let started = (0..START_ATTEMPTS).find_map(|_| Self::try_start(number, platform));
+        started.expect("the router did not start")
     }
 
     fn try_start(number: usize, platform: &str) -> Option<Self> {
-        let digest = hex::encode(Sha256::digest(OPERATOR));
-        let [callers, operators, peer] = free_ports();
+        let digest = hex::encode(Sha256::digest(OPERATOR_TOKEN));
+        let [caller_address, operator_address, peer_address] = free_addresses();
         let mut child = Command::new(env!("CARGO_BIN_EXE_mimosashiftd"))
             .args(["--node", &format!("r{number}"), "--domain", "a", "--region", "lk-west"])
-            .args(["--listen", &callers.to_string(), "--operator-listen", &operators.to_string()])
-            .args(["--peer-address", &peer.to_string(), "--platform-url", platform])
+            .args([
+                "--listen",
+                &caller_address.to_string(),
+                "--operator-listen",
+                &operator_address.to_string(),
+            ])
+            .args(["--peer-address", &peer_address.to_string(), "--platform-url", platform])
             .args(["--bootstrap-token-digest", &digest, "--log-form", "json"])
             .args(["--drain-ms", "20000"])
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        let (listening, listens) = mpsc::channel();
-        // Reads on, so that the router never waits for its log.
+        let (listening_sender, listening_events) = mpsc::channel();
+        // Keeps reading, so that the router does not block on a full pipe.
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
                 if line.contains("\"listening\"") {
-                    let _ = listening.send(());
+                    let _ = listening_sender.send(());
                 }
             }
         });
-        let router = Self { child, callers, operators };
-        for _surface in 0..2 {
-            listens.recv_timeout(START_TIMEOUT).ok()?;
+        let router = Self { child, caller_address, operator_address };
+        for _api in 0..2 {
+            listening_events.recv_timeout(START_TIMEOUT).ok()?;
         }
         Some(router)
     }
 
-    /// Where callers connect.
-    pub const fn callers(&self) -> SocketAddr {
-        self.callers
+    /// Address of the API for callers.
+    pub const fn caller_address(&self) -> SocketAddr {
+        self.caller_address
     }
 
     /// Sends a signal, for example `STOP`.
@@ -225,34 +236,35 @@
         assert!(status.success());
     }
 
-    /// Waits until the process has ended and returns its exit code.
+    /// Waits for the process to exit and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
 }
 
 impl Counts {
-    /// Counts what callers were told beside what ran.
+    /// Compares what callers saw with what ran.
     pub fn new(histories: &[History], runs: &BTreeMap<String, u64>) -> Self {
         let mut counts = Self { posted: histories.len(), ..Self::default() };
         for history in histories {
             let ran = runs.get(&history.body).copied().unwrap_or(0);
-            let last = history.said.last().copied();
-            let succeeded = matches!(last, Some(Said::Success | Said::Replayed));
-            let never_run = history.said.iter().all(|said| *said == Said::NotRun);
+            let last = history.replies.last().copied();
+            let succeeded = matches!(last, Some(Reply::Success | Reply::Replayed));
+            let never_run = history.replies.iter().all(|reply| *reply == Reply::NotRun);
             counts.run += usize::from(ran > 0);
-            counts.doubled += usize::from(ran > 1);
+            counts.duplicated += usize::from(ran > 1);
             counts.lost += usize::from(succeeded && ran == 0);
-            counts.refused += usize::from(last == Some(Said::NotRun));
-            counts.unknown += usize::from(last == Some(Said::Unknown));
+            counts.refused += usize::from(last == Some(Reply::NotRun));
+            counts.unknown += usize::from(last == Some(Reply::Unknown));
             counts.false_not_run += usize::from(never_run && ran > 0);
         }
         counts
     }
 
-    /// Checks what must hold whatever fails.
-    pub fn assert_true(&self) {
-        assert_eq!((self.doubled, self.lost, self.false_not_run), (0, 0, 0), "{self:?}");
+    /// Asserts that no posting ran twice, was lost, or ran although it was
+    /// reported as not run.
+    pub fn assert_consistent(&self) {
+        assert_eq!((self.duplicated, self.lost, self.false_not_run), (0, 0, 0), "{self:?}");
     }
 }
 
@@ -263,39 +275,43 @@
     }
 }
 
-/// Addresses on which nothing listens.
-fn free_ports() -> [SocketAddr; 3] {
-    let listeners = [(); 3].map(|()| TcpListener::bind(ANY).unwrap());
+/// Local addresses with free TCP ports.
+fn free_addresses() -> [SocketAddr; 3] {
+    let listeners = [(); 3].map(|()| TcpListener::bind(EPHEMERAL).unwrap());
     listeners.each_ref().map(|listener| listener.local_addr().unwrap())
 }
 
-/// What an answer tells the caller.
-pub fn told(answer: &Result<Answer, Failure>) -> Said {
+/// Classifies a response as the caller sees it.
+pub fn classify(answer: &Result<Answer, Failure>) -> Reply {
     let answer = match answer {
         Ok(answer) => answer,
-        Err(Failure::NotSent { .. }) => return Said::NotRun,
-        Err(Failure::Lost { .. }) => return Said::Unknown,
+        Err(Failure::NotSent { .. }) => return Reply::NotRun,
+        Err(Failure::Lost { .. }) => return Reply::Unknown,
     };
     if answer.status.is_success() {
         let replayed = answer.header("idempotency-replayed") == Some("true");
-        return if replayed { Said::Replayed } else { Said::Success };
+        return if replayed { Reply::Replayed } else { Reply::Success };
     }
     let problem: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     match (problem["code"].as_str(), problem["effect"].as_str()) {
-        (Some("posting-mismatch"), _) => Said::Mismatch,
-        (_, Some("not-run")) => Said::NotRun,
-        _ => Said::Unknown,
+        (Some("posting-mismatch"), _) => Reply::Mismatch,
+        (_, Some("not-run")) => Reply::NotRun,
+        _ => Reply::Unknown,
     }
 }
 
-/// Posts straight to the service and sends again whenever an answer is lost,
-/// as a router without claims would.
-pub fn naive(service: &service::Instance, load: Load, disturb: impl FnOnce()) -> Vec<History> {
+/// Sends postings directly to the service and repeats them when a response is
+/// lost, like a router without claims.
+pub fn post_without_claims(
+    service: &service::Instance,
+    load: Load,
+    inject_faults: impl FnOnce(),
+) -> Vec<History> {
     let client = Client::new(Default::default());
-    run(load, disturb, |_, body| {
+    run(load, inject_faults, |_, body| {
         let body = format!("naive-{body}");
-        let mut said = Vec::new();
-        while said.len() < load.tries && !said.contains(&Said::Success) {
+        let mut replies = Vec::new();
+        while replies.len() < load.max_attempts && !replies.contains(&Reply::Success) {
             let sent = client.call(&Call {
                 address: service.address(),
                 method: Method::POST,
@@ -305,16 +321,16 @@
                 timeout: load.timeout,
                 fresh: true,
             });
-            said.push(told(&sent));
+            replies.push(classify(&sent));
         }
-        History { body, said }
+        History { body, replies }
     })
 }
 
-/// Runs callers at once, each with bodies of its own, while `disturb` runs.
+/// Runs concurrent callers with distinct bodies while `inject_faults` runs.
 fn run(
     load: Load,
-    disturb: impl FnOnce(),
+    inject_faults: impl FnOnce(),
     post: impl Fn(usize, String) -> History + Sync,
 ) -> Vec<History> {
     let post = &post;
@@ -324,7 +340,7 @@
     };
     thread::scope(|scope| {
         let callers: Vec<_> = (0..load.callers).map(|n| scope.spawn(move || caller(n))).collect();
-        disturb();
+        inject_faults();
         callers.into_iter().flat_map(|caller| caller.join().unwrap()).collect()
     })
 }
--- a/mimosashiftd/tests/failover.rs
+++ b/mimosashiftd/tests/failover.rs
@@ -1,6 +1,6 @@
-//! Completions through router processes while one is killed and one drained.
+//! Tests of completions while one of the router processes is drained or killed.
 //!
-//! Run with `--nocapture` to see what became of the requests.
+//! Run with `--nocapture` to print the load reports.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -17,18 +17,19 @@
 
 mod common;
 
-const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+const EPHEMERAL: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const LAYERS: u16 = 8;
 
-/// Requests a second, and how long they come.
-const RATE: f64 = 60.0;
-const DURATION: Duration = Duration::from_secs(6);
+/// Requests per second.
+const REQUESTS_PER_SECOND: f64 = 60.0;
+/// Duration of the load.
+const LOAD_DURATION: Duration = Duration::from_secs(6);
 
-/// When a router is disturbed.
-const DISTURB_AT: Duration = Duration::from_secs(2);
+/// Time from the start of the load to the fault.
+const INJECT_AT: Duration = Duration::from_secs(2);
 
-/// Two copies of two stages, declared at every router.
-fn engines(cluster: &Cluster) -> Vec<engine::Instance> {
+/// Starts two engines for each of two stages and configures them on every router.
+fn start_engines(cluster: &Cluster) -> Vec<engine::Instance> {
     let model = Name::try_from("advisor").unwrap();
     let mut instances = Vec::new();
     let mut resources = vec![
@@ -40,7 +41,7 @@
             "holds": [{"pipeline": "advisor", "version": 1, "layers": layers}]});
         let checked: Engine = serde_json::from_value(spec.clone()).unwrap();
         let models = HashMap::from([(model.clone(), LAYERS)]);
-        let instance = engine::Instance::start(ANY, checked, models).unwrap();
+        let instance = engine::Instance::start(EPHEMERAL, checked, models).unwrap();
         let address = instance.address();
         let endpoint = json!({"address": address, "domain": "a", "role": {"engine": spec}});
         resources.push((format!("endpoint/engine-{index}"), endpoint));
@@ -49,20 +50,20 @@
     for router in &cluster.routers {
         for (path, spec) in &resources {
             let path = format!("/api/v1/{path}");
-            let answer = cluster.operate(router, Method::PUT, &path, &spec.to_string());
+            let answer = cluster.call_operator_api(router, Method::PUT, &path, &spec.to_string());
             assert!(answer.status.is_success(), "{}", String::from_utf8_lossy(&answer.body));
         }
     }
     instances
 }
 
-/// Sends load to every router while `disturb` runs.
-fn run(cluster: &Cluster, disturb: impl FnOnce()) -> Report {
+/// Sends load to every router and injects a fault after `INJECT_AT`.
+fn run(cluster: &Cluster, inject_fault: impl FnOnce()) -> Report {
     let plan = Plan {
-        targets: cluster.routers.iter().map(common::Router::callers).collect(),
-        token: common::CALLER.to_owned(),
-        rate: RATE,
-        duration: DURATION,
+        targets: cluster.routers.iter().map(common::Router::caller_address).collect(),
+        token: common::CALLER_TOKEN.to_owned(),
+        rate: REQUESTS_PER_SECOND,
+        duration: LOAD_DURATION,
         connections: 64,
         work: Work::Completion {
             model: "advisor".to_owned(),
@@ -75,36 +76,37 @@
     };
     thread::scope(|scope| {
         let running = scope.spawn(|| load::run(&plan));
-        thread::sleep(DISTURB_AT);
-        disturb();
+        thread::sleep(INJECT_AT);
+        inject_fault();
         running.join().unwrap()
     })
 }
 
-fn show(what: &str, report: &Report) {
-    eprintln!("{what}: {}", report.to_json());
+fn print_report(scenario: &str, report: &Report) {
+    eprintln!("{scenario}: {}", report.to_json());
 }
 
 #[test]
-fn drained_router_cuts_nothing_off() {
+fn drained_router_completes_all_requests() {
     let mut cluster = Cluster::start(3);
-    let _engines = engines(&cluster);
+    let _engines = start_engines(&cluster);
     let report = run(&cluster, || cluster.routers[0].signal("TERM"));
-    show("drained", &report);
+    print_report("drained", &report);
     assert_eq!(report.of(Outcome::Whole), report.sent());
     assert!(report.sent() > 0);
     assert_eq!(cluster.routers[0].exit_code(), Some(0));
 }
 
 #[test]
-fn killed_router_loses_only_what_it_held() {
+fn killed_router_loses_only_its_own_requests() {
     let cluster = Cluster::start(3);
-    let _engines = engines(&cluster);
+    let _engines = start_engines(&cluster);
     let report = run(&cluster, || cluster.routers[0].signal("KILL"));
-    show("killed", &report);
+    print_report("killed", &report);
     assert_eq!(report.of(Outcome::Wrong), 0);
-    // What the router held is cut short visibly or has no answer at all.
-    let broken = report.of(Outcome::CutShort) + report.of(Outcome::Lost);
-    assert_eq!(report.of(Outcome::Whole) + broken, report.sent());
+    // Requests on the killed router end with a visibly truncated response or
+    // without any response.
+    let incomplete = report.of(Outcome::CutShort) + report.of(Outcome::Lost);
+    assert_eq!(report.of(Outcome::Whole) + incomplete, report.sent());
     assert!(report.of(Outcome::Whole) > report.sent() / 2);
 }
--- a/mimosashiftd/tests/flags.rs
+++ b/mimosashiftd/tests/flags.rs
@@ -1,8 +1,8 @@
-//! The daemon's command line.
+//! Tests of the daemon's command line.
 
 use std::process::{Command, Output};
 
-const REQUIRED: [&str; 8] = [
+const REQUIRED_FLAGS: [&str; 8] = [
     "--node",
     "r1",
     "--domain",
@@ -22,45 +22,45 @@
         .unwrap()
 }
 
-/// Names each command line with its exit code and a part of what it says.
-macro_rules! says {
+/// Declares one test per command line, with its exit code and part of its output.
+macro_rules! prints {
     ($($case:ident: $args:expr, $env:expr => $code:literal $part:literal;)*) => {$(
         #[test]
         fn $case() {
             let output = run(&$args, &$env);
-            let said = [output.stdout, output.stderr].concat();
-            let said = String::from_utf8_lossy(&said);
-            assert_eq!(output.status.code(), Some($code), "{said}");
-            assert!(said.contains($part), "{said}");
+            let printed = [output.stdout, output.stderr].concat();
+            let printed = String::from_utf8_lossy(&printed);
+            assert_eq!(output.status.code(), Some($code), "{printed}");
+            assert!(printed.contains($part), "{printed}");
         }
     )*};
 }
 
-says! {
+prints! {
     help: ["--help"], [] => 0 "MIMOSASHIFT_PEER_KEYS";
-    nothing_set: [""; 0], [] => 2 "--node (MIMOSASHIFT_NODE) is not set";
+    required_settings_missing: [""; 0], [] => 2 "--node (MIMOSASHIFT_NODE) is not set";
     unknown_flag: ["--nod", "x"], [] => 2 "--nod";
     flag_without_value: ["--node"], [] => 2 "--node";
-    flag_twice: ["--node", "a", "--node", "b"], [] => 2 "--node";
-    bad_variable: [""; 0], [("MIMOSASHIFT_LISTEN", "here")] => 2 "--listen (MIMOSASHIFT_LISTEN) is \"here\"";
+    duplicate_flag: ["--node", "a", "--node", "b"], [] => 2 "--node";
+    invalid_variable: [""; 0], [("MIMOSASHIFT_LISTEN", "here")] => 2 "--listen (MIMOSASHIFT_LISTEN) is \"here\"";
 }
 
 #[test]
-fn check_accepts_good_settings_and_names_every_bad_one() {
-    let good = [&["--check"], &REQUIRED[..]].concat();
-    assert_eq!(run(&good, &[]).status.code(), Some(0));
-    let bad = [&good[..], &["--log-form", "xml", "--drain-ms", "0"]].concat();
-    let output = run(&bad, &[]);
-    let said = String::from_utf8_lossy(&output.stderr);
+fn check_accepts_valid_settings_and_reports_every_invalid_one() {
+    let valid = [&["--check"], &REQUIRED_FLAGS[..]].concat();
+    assert_eq!(run(&valid, &[]).status.code(), Some(0));
+    let invalid = [&valid[..], &["--log-form", "xml", "--drain-ms", "0"]].concat();
+    let output = run(&invalid, &[]);
+    let printed = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2));
-    assert!(said.contains("--log-form") && said.contains("--drain-ms"), "{said}");
+    assert!(printed.contains("--log-form") && printed.contains("--drain-ms"), "{printed}");
 }
 
 #[test]
-fn wrong_secret_is_not_repeated() {
-    let args = [&["--check", "--peer-keys", "1:topsecret"], &REQUIRED[..]].concat();
+fn invalid_secret_is_not_printed() {
+    let args = [&["--check", "--peer-keys", "1:topsecret"], &REQUIRED_FLAGS[..]].concat();
     let output = run(&args, &[]);
-    let said = String::from_utf8_lossy(&output.stderr);
+    let printed = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2));
-    assert!(said.contains("--peer-keys") && !said.contains("topsecret"), "{said}");
+    assert!(printed.contains("--peer-keys") && !printed.contains("topsecret"), "{printed}");
 }
