--- a/mimosactl/src/commands.rs
+++ b/mimosactl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implementation of the commands.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -10,20 +10,20 @@
 use crate::client::{Error, Server};
 use crate::files;
 use crate::flags::{self, MimosactlCmd};
-use crate::output::Form;
+use crate::output::Format;
 
-/// Wait of `apply --wait` and of `wait` unless another is given.
+/// Default time limit of `apply --wait` and `wait`.
 const DEFAULT_WAIT: Duration = Duration::from_secs(30);
 
-/// Time between two looks while waiting.
-const WAIT_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between polls while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where commands go and how their answers are printed.
+/// Router that commands are sent to, and format of their output.
 pub struct Context {
-    /// The router.
+    /// The router to call.
     pub server: Server,
-    /// The output form.
-    pub form: Form,
+    /// The output format.
+    pub format: Format,
 }
 
 impl Context {
@@ -32,11 +32,11 @@
         match command {
             MimosactlCmd::Apply(apply) => self.apply(apply),
             MimosactlCmd::Get(get) => {
-                self.one(&format!("/api/v1/{}/{}", segment(&get.kind), segment(&get.name)))
+                self.show(&format!("/api/v1/{}/{}", encode(&get.kind), encode(&get.name)))
             }
             MimosactlCmd::List(list) => {
-                let answer = self.server.get(&format!("/api/v1/{}", segment(&list.kind)))?;
-                self.items(&answer, &["name", "revision", "spec"])
+                let answer = self.server.get(&format!("/api/v1/{}", encode(&list.kind)))?;
+                self.print_items(&answer, &["name", "revision", "spec"])
             }
             MimosactlCmd::Delete(delete) => self.delete(delete),
             MimosactlCmd::Watch(watch) => self.watch(watch),
@@ -47,13 +47,13 @@
             MimosactlCmd::Audit(audit) => self.audit(audit),
             MimosactlCmd::Explain(explain) => {
                 let tokens = explain.prompt_tokens.unwrap_or(100);
-                let model = segment(&explain.model);
-                self.one(&format!("/api/v1/explain?model={model}&prompt_tokens={tokens}"))
+                let model = encode(&explain.model);
+                self.show(&format!("/api/v1/explain?model={model}&prompt_tokens={tokens}"))
             }
-            MimosactlCmd::Status(_) => self.one("/api/v1/status"),
+            MimosactlCmd::Status(_) => self.show("/api/v1/status"),
             MimosactlCmd::Postings(_) => {
                 let answer = self.server.get("/api/v1/postings?state=unknown")?;
-                self.items(&answer, &["key", "since", "router"])
+                self.print_items(&answer, &["key", "since", "router"])
             }
             MimosactlCmd::Resolve(resolve) => self.resolve(resolve),
             MimosactlCmd::Drain(_) => {
@@ -71,33 +71,33 @@
         if apply.file.is_empty() {
             return Err(Error::Usage("apply needs at least one --file".to_owned()));
         }
-        let mut last = 0;
-        for declared in files::read(&apply.file)? {
+        let mut last_revision = 0;
+        for resource in files::read(&apply.file)? {
             let query = if apply.dry_run { "?dry_run=true" } else { "" };
-            let path = format!("/api/v1/{}/{}{query}", declared.kind, declared.name);
-            let body = declared.spec.to_json();
+            let path = format!("/api/v1/{}/{}{query}", resource.kind, resource.name);
+            let body = resource.spec.to_json();
             let answer = self
                 .server
                 .call(Method::PUT, &path, None, Some(&body))
-                .map_err(|error| named(&declared.source, error))?;
-            last = answer["revision"].as_u64().unwrap_or(last);
-            let done = json!({
-                "kind": declared.kind, "name": declared.name,
+                .map_err(|error| with_source(&resource.source, error))?;
+            last_revision = answer["revision"].as_u64().unwrap_or(last_revision);
+            let summary = json!({
+                "kind": resource.kind, "name": resource.name,
                 "revision": answer["revision"], "change": answer["change"],
                 "dry_run": apply.dry_run,
             });
-            self.print_one(&done)?;
+            self.print_one(&summary)?;
         }
         if apply.wait && !apply.dry_run {
-            return self.wait(last, DEFAULT_WAIT);
+            return self.wait(last_revision, DEFAULT_WAIT);
         }
         Ok(())
     }
 
     fn delete(&self, delete: &flags::Delete) -> Result<(), Error> {
-        let path = format!("/api/v1/{}/{}", segment(&delete.kind), segment(&delete.name));
-        let condition = delete.revision.map(|r| ("if-match", format!("\"{r}\"")));
-        let answer = self.server.call(Method::DELETE, &path, condition, None)?;
+        let path = format!("/api/v1/{}/{}", encode(&delete.kind), encode(&delete.name));
+        let precondition = delete.revision.map(|r| ("if-match", format!("\"{r}\"")));
+        let answer = self.server.call(Method::DELETE, &path, precondition, None)?;
         self.print_one(&answer)
     }
 
@@ -107,9 +107,9 @@
             None => self.server.get("/api/v1/status")?["revision"].as_u64().unwrap_or(0),
         };
         self.server.stream(&format!("/api/v1/watch?after={after}"), |change| {
-            let line = match self.form {
-                Form::Json => change.to_string(),
-                Form::Table => {
+            let line = match self.format {
+                Format::Json => change.to_string(),
+                Format::Table => {
                     let action = if change["spec"].is_null() { "delete" } else { "put" };
                     let field = |name: &str| change[name].as_str().unwrap_or("-").to_owned();
                     format!("{} {action} {} {}", change["revision"], field("kind"), field("name"))
@@ -123,10 +123,10 @@
         let start = Instant::now();
         loop {
             let answer = self.server.get(&format!("/api/v1/in-force?revision={revision}"))?;
-            if everywhere(&answer["domains"]) {
+            if installed_everywhere(&answer["domains"]) {
                 let waited = start.elapsed().as_millis() as u64;
-                let done = json!({"in_force": revision, "waited_ms": waited});
-                return self.print_one(&done);
+                let summary = json!({"in_force": revision, "waited_ms": waited});
+                return self.print_one(&summary);
             }
             if start.elapsed() > limit {
                 return Err(Error::TimedOut(format!(
@@ -134,7 +134,7 @@
                     answer["domains"]
                 )));
             }
-            thread::sleep(WAIT_INTERVAL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -143,7 +143,7 @@
         let filters = [("kind", &audit.kind), ("name", &audit.name), ("operator", &audit.operator)];
         for (name, value) in filters {
             if let Some(value) = value {
-                path.push_str(&format!("&{name}={}", segment(value)));
+                path.push_str(&format!("&{name}={}", encode(value)));
             }
         }
         if let Some(after) = audit.after {
@@ -151,7 +151,7 @@
         }
         let answer = self.server.get(&path)?;
         let columns = ["revision", "time", "operator", "origin", "kind", "name", "change"];
-        self.items(&answer, &columns)
+        self.print_items(&answer, &columns)
     }
 
     fn resolve(&self, resolve: &flags::Resolve) -> Result<(), Error> {
@@ -164,18 +164,18 @@
         self.print_one(&answer)
     }
 
-    fn one(&self, path: &str) -> Result<(), Error> {
+    fn show(&self, path: &str) -> Result<(), Error> {
         let answer = self.server.get(path)?;
         self.print_one(&answer)
     }
 
-    fn items(&self, answer: &Value, columns: &[&str]) -> Result<(), Error> {
+    fn print_items(&self, answer: &Value, columns: &[&str]) -> Result<(), Error> {
         let items = answer["items"].as_array().map_or(&[][..], Vec::as_slice);
-        self.form.print(answer, items, columns).map_err(unprinted)
+        self.format.print(answer, items, columns).map_err(print_error)
     }
 
     fn print_one(&self, value: &Value) -> Result<(), Error> {
-        self.form.print_one(value).map_err(unprinted)
+        self.format.print_one(value).map_err(print_error)
     }
 
     fn print_text(&self, text: &str) {
@@ -183,19 +183,19 @@
     }
 }
 
-/// Whether every live router of every failure domain has the revision.
-fn everywhere(domains: &Value) -> bool {
+/// Whether every live router of every failure domain has installed the revision.
+fn installed_everywhere(domains: &Value) -> bool {
     let Some(domains) = domains.as_object() else { return false };
     !domains.is_empty()
         && domains.values().all(|d| d["live"].is_u64() && d["installed"] == d["live"])
 }
 
 /// Percent-encodes a path segment or query value.
-fn segment(text: &str) -> String {
+fn encode(text: &str) -> String {
     utf8_percent_encode(text, NON_ALPHANUMERIC).to_string()
 }
 
-fn named(source: &str, error: Error) -> Error {
+fn with_source(source: &str, error: Error) -> Error {
     match error {
         Error::Refused { code, detail } => {
             Error::Refused { code, detail: format!("{source}: {detail}") }
@@ -206,6 +206,6 @@
     }
 }
 
-fn unprinted(error: std::io::Error) -> Error {
+fn print_error(error: std::io::Error) -> Error {
     Error::Usage(format!("cannot print: {error}"))
 }
--- a/mimosactl/src/files.rs
+++ b/mimosactl/src/files.rs
@@ -1,4 +1,4 @@
-//! Resource files: JSON objects or lists of them.
+//! Reads resource files, each with a JSON object or a list of them.
 
 use std::fs;
 use std::io::Read;
@@ -10,9 +10,9 @@
 
 use crate::client::Error;
 
-/// A resource as it stands in a file, checked.
-pub struct Declared {
-    /// Where it stands, for messages.
+/// A validated resource from a file.
+pub struct Resource {
+    /// File and position, for messages.
     pub source: String,
     /// Kind.
     pub kind: Kind,
@@ -34,15 +34,15 @@
     _status: Option<Value>,
 }
 
-/// Reads every resource of the given files and directories, in the order in
-/// which they should be applied. Every wrong one is reported.
-pub fn read(paths: &[PathBuf]) -> Result<Vec<Declared>, Error> {
-    let mut declared = Vec::new();
+/// Reads the resources in the given files and directories and sorts them in the
+/// order in which they must be applied. The error lists all invalid resources.
+pub fn read(paths: &[PathBuf]) -> Result<Vec<Resource>, Error> {
+    let mut resources = Vec::new();
     let mut problems = Vec::new();
-    for path in expand(paths)? {
+    for path in expand_directories(paths)? {
         let source = path.display().to_string();
-        match text(&path).and_then(|text| parse(&source, &text)) {
-            Ok(resources) => declared.extend(resources),
+        match read_text(&path).and_then(|text| parse(&source, &text)) {
+            Ok(parsed) => resources.extend(parsed),
             Err(Error::Usage(problem)) => problems.push(problem),
             Err(error) => return Err(error),
         }
@@ -50,59 +50,59 @@
     if !problems.is_empty() {
         return Err(Error::Usage(problems.join("\n")));
     }
-    declared.sort_by_key(|d| Kind::ALL.iter().position(|kind| *kind == d.kind));
-    Ok(declared)
+    resources.sort_by_key(|r| Kind::ALL.iter().position(|kind| *kind == r.kind));
+    Ok(resources)
 }
 
-fn expand(paths: &[PathBuf]) -> Result<Vec<PathBuf>, Error> {
+fn expand_directories(paths: &[PathBuf]) -> Result<Vec<PathBuf>, Error> {
     let mut files = Vec::new();
     for path in paths {
         if !path.is_dir() {
             files.push(path.clone());
             continue;
         }
-        let entries = fs::read_dir(path).map_err(|e| unreadable(path, &e))?;
-        let mut inside: Vec<PathBuf> = entries
+        let entries = fs::read_dir(path).map_err(|e| read_error(path, &e))?;
+        let mut json_files: Vec<PathBuf> = entries
             .filter_map(|entry| Some(entry.ok()?.path()))
             .filter(|path| path.extension().is_some_and(|e| e == "json"))
             .collect();
-        inside.sort();
-        files.extend(inside);
+        json_files.sort();
+        files.extend(json_files);
     }
     Ok(files)
 }
 
-fn text(path: &Path) -> Result<String, Error> {
+fn read_text(path: &Path) -> Result<String, Error> {
     if path == Path::new("-") {
         let mut text = String::new();
-        std::io::stdin().read_to_string(&mut text).map_err(|e| unreadable(path, &e))?;
+        std::io::stdin().read_to_string(&mut text).map_err(|e| read_error(path, &e))?;
         return Ok(text);
     }
-    fs::read_to_string(path).map_err(|e| unreadable(path, &e))
+    fs::read_to_string(path).map_err(|e| read_error(path, &e))
 }
 
-fn parse(source: &str, text: &str) -> Result<Vec<Declared>, Error> {
+fn parse(source: &str, text: &str) -> Result<Vec<Resource>, Error> {
     let value: Value =
         serde_json::from_str(text).map_err(|e| Error::Usage(format!("{source}: {e}")))?;
     let items = match value {
         Value::Array(items) => items,
         item => vec![item],
     };
-    let mut declared = Vec::new();
+    let mut resources = Vec::new();
     let mut problems = Vec::new();
     for (index, item) in items.into_iter().enumerate() {
-        match resource(item) {
+        match parse_resource(item) {
             Ok((kind, name, spec)) => {
                 let source = format!("{source}, item {index}");
-                declared.push(Declared { source, kind, name, spec });
+                resources.push(Resource { source, kind, name, spec });
             }
             Err(problem) => problems.push(format!("{source}, item {index}: {problem}")),
         }
     }
-    if problems.is_empty() { Ok(declared) } else { Err(Error::Usage(problems.join("\n"))) }
+    if problems.is_empty() { Ok(resources) } else { Err(Error::Usage(problems.join("\n"))) }
 }
 
-fn resource(item: Value) -> Result<(Kind, Name, Spec), String> {
+fn parse_resource(item: Value) -> Result<(Kind, Name, Spec), String> {
     let wire: Wire = serde_json::from_value(item).map_err(|e| e.to_string())?;
     let kind = Kind::try_from(wire.kind.as_str()).map_err(|e| e.to_string())?;
     let name = Name::try_from(wire.name.as_str()).map_err(|e| e.to_string())?;
@@ -112,6 +112,6 @@
     Ok((kind, name, spec))
 }
 
-fn unreadable(path: &Path, error: &std::io::Error) -> Error {
+fn read_error(path: &Path, error: &std::io::Error) -> Error {
     Error::Usage(format!("{}: {error}", path.display()))
 }
--- a/mimosactl/src/flags.rs
+++ b/mimosactl/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line.
 
 use std::path::PathBuf;
 
@@ -7,19 +7,19 @@
     ///
     /// Every command reads the operator address from --server or
     /// MIMOSACTL_SERVER and the token from MIMOSACTL_TOKEN.
-    /// Exit codes: 0 done, 1 the router was not reached, 2 wrong usage or file,
-    /// 3 refused, 4 another operator's change won, 5 outcome unknown,
-    /// 6 the wait timed out.
+    /// Exit codes: 0 success, 1 the router did not answer, 2 invalid usage or
+    /// file, 3 refused, 4 conflict with another operator's change, 5 outcome
+    /// unknown, 6 the wait timed out.
     cmd mimosactl {
         /// Operator address of a router, IP and port.
         optional -s, --server address: String
-        /// Output form: table or json.
-        optional -o, --output form: String
-        /// Declares resources from files, directories or standard input (-).
+        /// Output format: table or json.
+        optional -o, --output format: String
+        /// Creates or updates resources from files, directories or standard input (-).
         cmd apply {
             /// A JSON file, a directory of such files, or - for standard input.
             repeated -f, --file path: PathBuf
-            /// Checks only.
+            /// Validates the resources without changing them.
             optional --dry-run
             /// Waits until the change is in force on all live routers.
             optional --wait
@@ -42,19 +42,19 @@
             required kind: String
             /// Name of the resource.
             required name: String
-            /// Deletes only this revision.
+            /// Deletes the resource only if it has this revision.
             optional --revision number: u64
         }
-        /// Prints changes as they come into force on the router.
+        /// Prints changes as the router installs them.
         cmd watch {
-            /// Starts after this revision; the current one unless given.
+            /// Starts after this revision; default: the current one.
             optional --after revision: u64
         }
         /// Waits until a revision is in force on all live routers.
         cmd wait {
-            /// The revision.
+            /// Revision to wait for.
             required revision: u64
-            /// Longest wait in seconds; 30 unless given.
+            /// Maximum wait in seconds; default: 30.
             optional --timeout seconds: u64
         }
         /// Shows the audit trail.
@@ -63,18 +63,18 @@
             optional --after revision: u64
             /// Only changes of this kind of resource.
             optional --kind kind: String
-            /// Only changes of the resource of this name.
+            /// Only changes of the resource with this name.
             optional --name name: String
             /// Only changes by this operator.
             optional --operator name: String
-            /// Most entries; 100 unless given.
+            /// Maximum number of entries; default: 100.
             optional --limit count: u32
         }
-        /// Shows the chain that a request would get, and why.
+        /// Shows the chain of endpoints that a request would be routed to, and why.
         cmd explain {
-            /// Model as callers name it.
+            /// Model name, as in requests of callers.
             required model: String
-            /// Prompt length in tokens; 100 unless given.
+            /// Prompt length in tokens; default: 100.
             optional --prompt-tokens count: u32
         }
         /// Shows the router's state.
@@ -83,9 +83,9 @@
         /// Lists postings whose outcome is unknown.
         cmd postings {
         }
-        /// Records what was found out about a posting.
+        /// Records whether a posting with unknown outcome ran.
         cmd resolve {
-            /// Key of the posting as `postings` shows it.
+            /// Key of the posting, as `postings` shows it.
             required key: String
             /// The posting ran.
             optional --ran
--- a/mimosactl/src/main.rs
+++ b/mimosactl/src/main.rs
@@ -1,10 +1,10 @@
-//! The operators' client.
+//! Command-line client for operators.
 
 use std::process::ExitCode;
 
 use client::{Error, Server};
 use commands::Context;
-use output::Form;
+use output::Format;
 
 mod client;
 mod commands;
@@ -24,9 +24,9 @@
 }
 
 fn run(flags: &flags::Mimosactl) -> Result<(), Error> {
-    let form = match flags.output.as_deref() {
-        None | Some("table") => Form::Table,
-        Some("json") => Form::Json,
+    let format = match flags.output.as_deref() {
+        None | Some("table") => Format::Table,
+        Some("json") => Format::Json,
         Some(other) => {
             let message = format!("--output is {other:?}, must be table or json");
             return Err(Error::Usage(message));
@@ -38,10 +38,10 @@
         .or_else(|| std::env::var("MIMOSACTL_SERVER").ok())
         .unwrap_or_else(|| "127.0.0.1:8081".to_owned());
     let token = std::env::var("MIMOSACTL_TOKEN").unwrap_or_default();
-    Context { server: Server::new(address, token), form }.run(&flags.subcommand)
+    Context { server: Server::new(address, token), format }.run(&flags.subcommand)
 }
 
-/// A completion script for bash: commands, then kinds of resource.
+/// Bash completion script for the commands, options and resource kinds.
 fn completion_script() -> &'static str {
     r#"_mimosactl() {
     local commands="apply get list delete watch wait audit explain status postings resolve drain completions"
--- a/mimosactl/src/output.rs
+++ b/mimosactl/src/output.rs
@@ -1,29 +1,30 @@
-//! Answers as tables or JSON.
+//! Prints responses as tables or JSON.
 
 use std::io::{self, Write};
 
 use serde_json::Value;
 
-/// Form of the output.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
-    /// Aligned columns for people.
+pub enum Format {
+    /// Aligned columns.
     Table,
-    /// One JSON value for programs.
+    /// One JSON value.
     Json,
 }
 
-impl Form {
-    /// Prints `items` with the given columns, or `whole` as JSON.
-    pub fn print(self, whole: &Value, items: &[Value], columns: &[&str]) -> io::Result<()> {
+impl Format {
+    /// Prints `items` as a table of the given columns, or `answer` as JSON.
+    pub fn print(self, answer: &Value, items: &[Value], columns: &[&str]) -> io::Result<()> {
         let mut out = io::stdout().lock();
         match self {
-            Self::Json => writeln!(out, "{whole:#}"),
+            Self::Json => writeln!(out, "{answer:#}"),
             Self::Table => write_table(&mut out, items, columns),
         }
     }
 
-    /// Prints one value: its members as rows and its lists as tables, or JSON.
+    /// Prints one value, either with its members as rows and its lists of
+    /// objects as tables, or as JSON.
     pub fn print_one(self, value: &Value) -> io::Result<()> {
         let mut out = io::stdout().lock();
         match (self, value) {
@@ -53,7 +54,7 @@
     Ok(())
 }
 
-/// Splits nested members into rows, named by their path, and lists of objects.
+/// Flattens nested members into rows and lists of objects, each named by its path.
 fn flatten<'a>(
     path: &str,
     value: &'a Value,
@@ -70,7 +71,7 @@
         Value::Array(items) if items.iter().any(Value::is_object) => {
             lists.push((path.to_owned(), items));
         }
-        _ => rows.push((path.to_owned(), cell(value))),
+        _ => rows.push((path.to_owned(), format_cell(value))),
     }
 }
 
@@ -78,7 +79,7 @@
     let header = columns.iter().map(|c| c.to_uppercase()).collect::<Vec<_>>();
     let mut rows = vec![header];
     for item in items {
-        rows.push(columns.iter().map(|column| cell(&item[*column])).collect());
+        rows.push(columns.iter().map(|column| format_cell(&item[*column])).collect());
     }
     let width = |i: usize| rows.iter().map(|row| row[i].chars().count()).max().unwrap_or(0);
     let widths: Vec<usize> = (0..columns.len()).map(width).collect();
@@ -90,15 +91,15 @@
     Ok(())
 }
 
-fn cell(value: &Value) -> String {
+fn format_cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         Value::String(text) => text.clone(),
         Value::Array(items) if items.is_empty() => "-".to_owned(),
         Value::Object(members) if members.is_empty() => "-".to_owned(),
-        Value::Array(items) => items.iter().map(cell).collect::<Vec<_>>().join(", "),
+        Value::Array(items) => items.iter().map(format_cell).collect::<Vec<_>>().join(", "),
         Value::Object(members) => {
-            let pair = |(name, value)| format!("{name}={}", cell(value));
+            let pair = |(name, value)| format!("{name}={}", format_cell(value));
             members.iter().map(pair).collect::<Vec<_>>().join(" ")
         }
         other => other.to_string(),
--- a/mimosactl/tests/cli.rs
+++ b/mimosactl/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The client against a whole system, by its output and exit codes.
+//! Tests of the client's output and exit codes against a running system.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -9,8 +9,8 @@
 
 const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../examples");
 
-/// Runs the client against the first router of a world.
-fn ctl(world: &World, args: &[&str], input: &str) -> Output {
+/// Runs the client against the first router of `world`.
+fn mimosactl(world: &World, args: &[&str], input: &str) -> Output {
     let server = world.routers[0].operators().to_string();
     run(&server, args, input)
 }
@@ -25,16 +25,16 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The client may end before it has read its input.
+    // The client may exit before it reads its input.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     child.wait_with_output().unwrap()
 }
 
-fn world() -> World {
+fn start_world() -> World {
     World::start(&Logger::root(Discard, o!())).unwrap()
 }
 
-fn code(output: &Output) -> Option<i32> {
+fn exit_code(output: &Output) -> Option<i32> {
     output.status.code()
 }
 
@@ -48,85 +48,85 @@
 
 #[test]
 fn examples_apply_and_are_in_force() {
-    let world = world();
+    let world = start_world();
     for user in ["board", "aksu"] {
         let folder = format!("{EXAMPLES}/{user}");
-        let applied = ctl(&world, &["apply", "--file", &folder, "--wait"], "");
-        assert_eq!(code(&applied), Some(0), "{}", text(&applied.stderr));
+        let applied = mimosactl(&world, &["apply", "--file", &folder, "--wait"], "");
+        assert_eq!(exit_code(&applied), Some(0), "{}", text(&applied.stderr));
     }
-    let teams = json(&ctl(&world, &["--output", "json", "list", "team"], ""));
+    let teams = json(&mimosactl(&world, &["--output", "json", "list", "team"], ""));
     assert_eq!(teams["items"].as_array().map(Vec::len), Some(7));
-    let table = text(&ctl(&world, &["list", "route"], "").stdout);
+    let table = text(&mimosactl(&world, &["list", "route"], "").stdout);
     assert!(table.starts_with("NAME") && table.contains("drafting"), "{table}");
 }
 
 #[test]
-fn changes_show_in_get_audit_and_status() {
-    let world = world();
+fn changes_appear_in_get_audit_and_status() {
+    let world = start_world();
     let spec = r#"{"kind":"priority","name":"urgent","spec":{"level":3}}"#;
-    assert_eq!(code(&ctl(&world, &["apply", "-f", "-"], spec)), Some(0));
-    let got = json(&ctl(&world, &["-o", "json", "get", "priority", "urgent"], ""));
+    assert_eq!(exit_code(&mimosactl(&world, &["apply", "-f", "-"], spec)), Some(0));
+    let got = json(&mimosactl(&world, &["-o", "json", "get", "priority", "urgent"], ""));
     assert_eq!((&got["spec"]["level"], &got["revision"]), (&3.into(), &1.into()));
-    let audit = json(&ctl(&world, &["-o", "json", "audit", "--kind", "priority"], ""));
+    let audit = json(&mimosactl(&world, &["-o", "json", "audit", "--kind", "priority"], ""));
     assert_eq!(audit["items"][0]["name"], "urgent");
     assert_eq!(audit["items"][0]["operator"], "bootstrap");
-    let status = json(&ctl(&world, &["-o", "json", "status"], ""));
+    let status = json(&mimosactl(&world, &["-o", "json", "status"], ""));
     assert_eq!(status["revision"], 1);
-    let table = text(&ctl(&world, &["status"], "").stdout);
+    let table = text(&mimosactl(&world, &["status"], "").stdout);
     assert!(table.lines().any(|line| line.starts_with("revision") && line.ends_with('1')));
     assert!(!table.contains(['{', '[', '"']), "{table}");
 }
 
 #[test]
 fn dry_run_changes_nothing() {
-    let world = world();
+    let world = start_world();
     let spec = r#"{"kind":"priority","name":"urgent","spec":{"level":3}}"#;
-    assert_eq!(code(&ctl(&world, &["apply", "-f", "-", "--dry-run"], spec)), Some(0));
-    assert_eq!(code(&ctl(&world, &["get", "priority", "urgent"], "")), Some(3));
+    assert_eq!(exit_code(&mimosactl(&world, &["apply", "-f", "-", "--dry-run"], spec)), Some(0));
+    assert_eq!(exit_code(&mimosactl(&world, &["get", "priority", "urgent"], "")), Some(3));
 }
 
 #[test]
-fn changed_resource_is_not_deleted_at_its_old_revision() {
-    let world = world();
+fn delete_with_old_revision_is_refused() {
+    let world = start_world();
     for level in [1, 2] {
         let spec = format!(r#"{{"kind":"priority","name":"urgent","spec":{{"level":{level}}}}}"#);
-        assert_eq!(code(&ctl(&world, &["apply", "-f", "-"], &spec)), Some(0));
+        assert_eq!(exit_code(&mimosactl(&world, &["apply", "-f", "-"], &spec)), Some(0));
     }
-    let old = ctl(&world, &["delete", "priority", "urgent", "--revision", "1"], "");
-    assert_eq!(code(&old), Some(4), "{}", text(&old.stderr));
-    let new = ctl(&world, &["delete", "priority", "urgent", "--revision", "2"], "");
-    assert_eq!(code(&new), Some(0), "{}", text(&new.stderr));
+    let old = mimosactl(&world, &["delete", "priority", "urgent", "--revision", "1"], "");
+    assert_eq!(exit_code(&old), Some(4), "{}", text(&old.stderr));
+    let new = mimosactl(&world, &["delete", "priority", "urgent", "--revision", "2"], "");
+    assert_eq!(exit_code(&new), Some(0), "{}", text(&new.stderr));
 }
 
 #[test]
-fn every_wrong_resource_of_a_file_is_named() {
-    let bad = r#"[{"kind":"team","name":"a","spec":{"priority":"p","weight":0}},
+fn every_invalid_resource_of_a_file_is_reported() {
+    let invalid = r#"[{"kind":"team","name":"a","spec":{"priority":"p","weight":0}},
         {"kind":"nothing","name":"b","spec":{}},
         {"kind":"priority","name":"C","spec":{"level":1}}]"#;
-    let output = run("127.0.0.1:1", &["apply", "-f", "-"], bad);
-    assert_eq!(code(&output), Some(2));
+    let output = run("127.0.0.1:1", &["apply", "-f", "-"], invalid);
+    assert_eq!(exit_code(&output), Some(2));
     let errors = text(&output.stderr);
     for part in ["item 0", "weight", "item 1", "\"nothing\"", "item 2", "\"C\""] {
         assert!(errors.contains(part), "{part} is missing: {errors}");
     }
 }
 
-/// Names each call with its exit code, one per line.
-macro_rules! exits {
+/// Declares one test per command line, with its exit code.
+macro_rules! exit_codes {
     ($($case:ident: $args:expr => $code:literal;)*) => {$(
         #[test]
         fn $case() {
             let output = run("127.0.0.1:1", &$args, "");
-            assert_eq!(code(&output), Some($code), "{}", text(&output.stderr));
+            assert_eq!(exit_code(&output), Some($code), "{}", text(&output.stderr));
         }
     )*};
 }
 
-exits! {
-    no_router: ["status"] => 1;
-    unknown_form: ["--output", "xml", "status"] => 2;
+exit_codes! {
+    unreachable_router: ["status"] => 1;
+    unknown_format: ["--output", "xml", "status"] => 2;
     apply_without_file: ["apply"] => 2;
     missing_file: ["apply", "-f", "/nonexistent.json"] => 2;
-    resolve_without_finding: ["resolve", "key"] => 2;
+    resolve_without_outcome: ["resolve", "key"] => 2;
     completions: ["completions"] => 0;
 }
