--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -203,7 +203,7 @@
     }
     for id in &change.layers_changed {
         let layers = fleet.get(id).and_then(|member| member.endpoint.layers);
-        emit!(state.log, Event::EndpointPlaced, "endpoint" => &**id, "source" => "store", "layers" => layers.map(|layers| layers.to_string()));
+        emit!(state.log, Event::EndpointLayersChanged, "endpoint" => &**id, "source" => "store", "layers" => layers.map(|layers| layers.to_string()));
     }
     for id in &change.leaving {
         emit!(state.log, Event::EndpointLeaving, "endpoint" => &**id);
@@ -231,7 +231,7 @@
     if answered {
         if state.store_lost.replace(false) {
             let outage_ms = last_answer.map(|at| millis(now.since(at)));
-            emit!(state.log, Event::StoreRegained, "away_ms" => outage_ms);
+            emit!(state.log, Event::StoreAvailable, "away_ms" => outage_ms);
         }
         state.last_store_answer.set(Some(now));
     } else if !state.store_lost.replace(true) {
@@ -239,6 +239,6 @@
             Outcome::NotDone(refusal) => format!("{refusal:?}"),
             _ => "no answer".to_owned(),
         };
-        emit!(state.log, Event::StoreLost, "reason" => reason);
+        emit!(state.log, Event::StoreUnavailable, "reason" => reason);
     }
 }
--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -102,7 +102,7 @@
             let state = &self.ctx.state;
             state.meter.requests(1, Outcome::Cancelled);
             let ms = millis(clock::now().since(self.ctx.arrived));
-            emit!(state.log, Event::RequestCutShort, "request" => &*self.ctx.id, "ms" => ms, "events" => self.events_forwarded);
+            emit!(state.log, Event::RequestCancelled, "request" => &*self.ctx.id, "ms" => ms, "events" => self.events_forwarded);
         }
     }
 }
@@ -304,7 +304,7 @@
         let layer = shortage.layer();
         let holders = self.state().fleet.borrow().describe_holders(&query, layer, clock::now());
         let waiting = self.state().pressure.borrow().waiting();
-        emit!(self.state().log, Event::LayerShort, "request" => &*self.ctx.id, "layer" => layer, "holders" => holders, "waiting" => waiting);
+        emit!(self.state().log, Event::LayerShortage, "request" => &*self.ctx.id, "layer" => layer, "holders" => holders, "waiting" => waiting);
     }
 
     fn shortage_error(&self, shortage: &Shortage) -> RequestError {
@@ -442,7 +442,7 @@
         if named.is_some() {
             let state = self.state().clone();
             state.fleet.borrow_mut().record_cache_full(&hop.id, clock::now());
-            emit!(state.log, Event::EndpointCrowded, "endpoint" => &*hop.id, "request" => &*self.ctx.id, "status" => status.as_u16());
+            emit!(state.log, Event::EndpointOverloaded, "endpoint" => &*hop.id, "request" => &*self.ctx.id, "status" => status.as_u16());
             let hop = hop.clone();
             // The endpoint is not selected until the probe has ended.
             tokio::task::spawn_local(async move { drop(probe::check_alive(&state, &hop).await) });
--- a/mimosastandin/src/demo/mod.rs
+++ b/mimosastandin/src/demo/mod.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use mimosashift::event;
-use mimosashift::settings::{Form, Log};
+use mimosashift::settings::{Format, Log};
 use quick_error::quick_error;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -49,7 +49,7 @@
 /// Runs the sample workload, then serves until SIGINT or SIGTERM unless
 /// `options.once` is set.
 pub fn run(options: Options) -> Result<(), Error> {
-    let settings = Log { form: Form::Terminal, level: event::Level::Warning };
+    let settings = Log { format: Format::Terminal, level: event::Level::Warning };
     let (log, _guard) = event::logger(&settings);
     let testbed = Testbed::start(&log)?;
     print_addresses(&testbed);
