--- a/mimosashift/src/link/mod.rs
+++ b/mimosashift/src/link/mod.rs
@@ -1,8 +1,9 @@
-//! Kept connections to endpoints and the store, for an event loop.
+//! Pool of HTTP connections to endpoints and the store, for a single-threaded
+//! event loop.
 //!
-//! The pool says of each failed exchange whether the request may have been
-//! sent, since only that decides whether it may be sent elsewhere. An exchange
-//! that is dropped closes its connection, which cancels the work behind it.
+//! Each failure states whether the request may have been sent, which decides
+//! whether it may be sent elsewhere. Dropping an exchange closes its
+//! connection, which cancels the request on the server.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -24,60 +25,61 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout};
 
-/// Idle time after which a connection is not used again, unless its endpoint
-/// names a shorter one; below the idle timeouts that servers commonly have.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
+/// Idle time after which a connection is not reused, unless the server announces
+/// a shorter timeout; below the idle timeouts that servers commonly have.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time before the end of an endpoint's idle timeout in which a connection is
-/// not used: the timeout is given in whole seconds, and a request takes time
-/// to get there.
+/// Time before the end of an announced idle timeout in which a connection is no
+/// longer reused: the timeout is given in body seconds, and a request needs
+/// time to arrive.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_200);
 
-/// Most idle connections kept to one address.
+/// Maximum number of idle connections to one address.
 const MAX_IDLE: usize = 64;
 
-/// Most addresses kept of servers that closed connections.
-const MAX_CLOSED: usize = 256;
+/// Maximum number of pending addresses of servers that closed connections.
+const MAX_CLOSED_ADDRESSES: usize = 256;
 
 /// Limits of the pool.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Time to open a connection.
+    /// Time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// Time without an acknowledgement of sent bytes after which a connection
-    /// counts as dead; also bounds the silence that keep-alive probes allow.
+    /// Time for which sent data may remain unacknowledged before the connection
+    /// is closed; also the interval of keep-alive probes, at least one second.
     pub silence: Duration,
 }
 
 quick_error! {
-    /// Why an exchange gave no answer.
+    /// Reason why an exchange has no response.
     #[derive(Debug)]
-    #[allow(missing_docs)] // The macro takes no comments on fields.
+    #[allow(missing_docs)] // The macro does not accept doc comments on fields.
     pub enum Failure {
         /// The request was certainly not sent.
         NotSent { reason: String, refused: bool } {
             display("not sent: {}", reason)
         }
-        /// The request may have arrived.
+        /// The request may have reached the server.
         Lost { reason: String } {
             display("no answer: {}", reason)
         }
     }
 }
 
-/// Kept connections by address.
+/// Pool of connections, by address.
 pub struct Pool {
     settings: Settings,
     idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
-    /// Addresses that closed a connection, not yet taken by [`Pool::closed`].
+    /// Addresses that closed a connection, not yet returned by
+    /// [`Pool::closed`].
     closed: RefCell<Vec<SocketAddr>>,
     closing: Notify,
 }
 
 struct Idle {
     connection: Connection,
-    until: Instant,
-    since: Instant,
+    expires: Instant,
+    idle_since: Instant,
 }
 
 struct Connection {
@@ -85,13 +87,13 @@
     task: AbortHandle,
 }
 
-/// An answer whose body is still to come.
+/// Response whose body is read as a stream.
 pub struct Exchange {
     /// Status and headers.
     pub head: Response<()>,
     body: Incoming,
     connection: Option<Connection>,
-    keep: Option<Duration>,
+    idle_timeout: Option<Duration>,
     pool: Rc<Pool>,
     address: SocketAddr,
 }
@@ -104,12 +106,12 @@
 
 impl Failure {
     fn lost(error: impl std::error::Error) -> Self {
-        Self::Lost { reason: chain(&error) }
+        Self::Lost { reason: error_chain(&error) }
     }
 }
 
-/// An error with its sources, which hyper's own text leaves out.
-fn chain(error: &dyn std::error::Error) -> String {
+/// Formats an error with its sources, which the text of hyper errors omits.
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(next) = source {
@@ -121,7 +123,7 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(settings: Settings) -> Rc<Self> {
         Rc::new(Self {
             settings,
@@ -131,10 +133,10 @@
         })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
-    /// A `fresh` exchange uses no kept connection. The caller bounds the time;
-    /// dropping the future closes the connection.
+    /// With `fresh` a new connection is opened. There is no time limit; dropping
+    /// the future closes the connection.
     pub async fn send(
         self: &Rc<Self>,
         address: SocketAddr,
@@ -142,7 +144,7 @@
         fresh: bool,
     ) -> Result<Exchange, Failure> {
         let mut request = request;
-        while !fresh && let Some(connection) = self.take(address) {
+        while !fresh && let Some(connection) = self.take_idle(address) {
             match self.exchange(address, connection, request).await {
                 Err((_, Some(unsent))) => request = unsent,
                 Err((failure, None)) => return Err(failure),
@@ -158,8 +160,8 @@
         })
     }
 
-    /// The addresses that have closed connections since the last call, as soon
-    /// as there is one: a server that ends closes all of its connections.
+    /// Waits for and returns the addresses that have closed connections since
+    /// the last call: a server process that exits closes all its connections.
     pub async fn closed(&self) -> Vec<SocketAddr> {
         loop {
             let closing = self.closing.notified();
@@ -171,29 +173,29 @@
         }
     }
 
-    /// Forgets the idle connections to an address, for example because one of
-    /// their age went silent.
+    /// Closes the idle connections to an address, for example because another
+    /// connection as old as these has stopped responding.
     pub fn forget(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have exceeded their idle timeout.
     pub fn sweep(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
-            connections.retain(|c| c.until > now && !c.connection.sender.is_closed());
+            connections.retain(|c| c.expires > now && !c.connection.sender.is_closed());
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// The connection that was used last, if one may be used again.
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
+    /// Takes the most recently used idle connection that can be reused.
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
         while let Some(idle) = connections.pop() {
-            if idle.until > now && idle.since <= now && idle.connection.sender.is_ready() {
+            if idle.expires > now && idle.idle_since <= now && idle.connection.sender.is_ready() {
                 return Some(idle.connection);
             }
         }
@@ -215,21 +217,21 @@
         self.configure(&stream).map_err(|error| not_sent(format!("socket: {error}"), false))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| not_sent(chain(&error), false))?;
+            .map_err(|error| not_sent(error_chain(&error), false))?;
         let pool = Rc::downgrade(self);
-        // The connection's error shows in the exchange that uses it.
+        // An error of the connection is reported by the exchange that uses it.
         let task = tokio::task::spawn_local(async move {
             drop(connection.await);
             if let Some(pool) = pool.upgrade() {
-                pool.note_closed(address);
+                pool.record_closed(address);
             }
         });
         Ok(Connection { sender, task: task.abort_handle() })
     }
 
-    fn note_closed(&self, address: SocketAddr) {
+    fn record_closed(&self, address: SocketAddr) {
         let mut closed = self.closed.borrow_mut();
-        if closed.len() < MAX_CLOSED && !closed.contains(&address) {
+        if closed.len() < MAX_CLOSED_ADDRESSES && !closed.contains(&address) {
             closed.push(address);
         }
         self.closing.notify_one();
@@ -246,7 +248,8 @@
         )
     }
 
-    /// One exchange; a failure brings the request back if it was not sent.
+    /// Sends a request on a connection. A failure returns the request if it was
+    /// not sent.
     async fn exchange(
         self: &Rc<Self>,
         address: SocketAddr,
@@ -261,24 +264,24 @@
             }
         };
         let (parts, body) = response.into_parts();
-        let keep = keep_for(&parts.headers);
+        let idle_timeout = idle_timeout(&parts.headers);
         let head = Response::from_parts(parts, ());
         let pool = self.clone();
-        Ok(Exchange { head, body, connection: Some(connection), keep, pool, address })
+        Ok(Exchange { head, body, connection: Some(connection), idle_timeout, pool, address })
     }
 
-    fn put_back(&self, address: SocketAddr, connection: Connection, keep: Duration) {
+    fn put_back(&self, address: SocketAddr, connection: Connection, idle_timeout: Duration) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address).or_default();
         if connections.len() < MAX_IDLE {
-            connections.push(Idle { connection, until: now + keep, since: now });
+            connections.push(Idle { connection, expires: now + idle_timeout, idle_since: now });
         }
     }
 }
 
-/// How long a connection may be kept idle; `None` when it is to be closed.
-fn keep_for(headers: &HeaderMap) -> Option<Duration> {
+/// Time for which a connection may stay idle; `None` if it must be closed.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let closing = text(CONNECTION.as_str()).is_some_and(|value| {
         value.split(',').any(|option| option.trim().eq_ignore_ascii_case("close"))
@@ -290,20 +293,19 @@
         let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
         seconds.trim().parse().ok().map(Duration::from_secs)
     });
-    let limit = timeout.map_or(IDLE_LIMIT, |t| t.saturating_sub(IDLE_MARGIN).min(IDLE_LIMIT));
+    let limit = timeout.map_or(IDLE_TIMEOUT, |t| t.saturating_sub(IDLE_MARGIN).min(IDLE_TIMEOUT));
     (!limit.is_zero()).then_some(limit)
 }
 
 impl Exchange {
-    /// The next bytes of the body; `None` at its end.
-    ///
-    /// At the end the connection goes back to the pool.
+    /// Returns the next bytes of the body; `None` at its end, where the
+    /// connection returns to the pool.
     pub async fn next(&mut self) -> Option<Result<Bytes, Failure>> {
         loop {
             match self.body.frame().await {
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) => return Some(Ok(data)),
-                    // Trailers say nothing that the router uses.
+                    // Trailers are not used.
                     Err(_) => continue,
                 },
                 Some(Err(error)) => {
@@ -318,28 +320,29 @@
         }
     }
 
-    /// The whole body, at most `limit` bytes.
+    /// Reads the rest of the body, of at most `limit` bytes.
     pub async fn collect(&mut self, limit: usize) -> Result<Bytes, Failure> {
-        let mut whole = Vec::new();
+        let mut collected = Vec::new();
         while let Some(data) = self.next().await {
             let data = data?;
-            if whole.len() + data.len() > limit {
+            if collected.len() + data.len() > limit {
                 self.connection = None;
-                return Err(Failure::Lost { reason: format!("answer exceeds {limit} bytes") });
+                return Err(Failure::Lost { reason: format!("response exceeds {limit} bytes") });
             }
-            whole.extend_from_slice(&data);
+            collected.extend_from_slice(&data);
         }
-        Ok(whole.into())
+        Ok(collected.into())
     }
 
-    /// The address that answered.
+    /// Address of the server.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
     fn finish(&mut self) {
-        if let (Some(connection), Some(keep)) = (self.connection.take(), self.keep) {
-            self.pool.put_back(self.address, connection, keep);
+        if let (Some(connection), Some(idle_timeout)) = (self.connection.take(), self.idle_timeout)
+        {
+            self.pool.put_back(self.address, connection, idle_timeout);
         }
     }
 }
--- a/mimosashift/src/member/domain.rs
+++ b/mimosashift/src/member/domain.rs
@@ -1,7 +1,8 @@
-//! How far each failure domain has installed the configuration.
+//! Configuration revisions installed in each failure domain.
 //!
-//! A router hears every other of its own domain, but only a few of the other
-//! domains. Those pass on a summary of each domain that they know of.
+//! A router receives heartbeats from every router of its own domain but only
+//! from a few of the others. Heartbeats therefore carry summaries of the
+//! domains that the sender knows.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,53 +14,53 @@
 use crate::time::Instant;
 use crate::wire::message::Summary;
 
-/// Age at which a summary is dropped.
-const MAX_AGE: Duration = Duration::from_secs(20);
+/// Age at which a summary is discarded.
+const MAX_SUMMARY_AGE: Duration = Duration::from_secs(20);
 
-/// Most failure domains remembered.
+/// Maximum number of failure domains stored.
 const MAX_DOMAINS: usize = 64;
 
-/// Most bytes of summaries in one heartbeat.
-const MAX_SUMMARY_BYTES: usize = 400;
+/// Maximum size of the summaries in one heartbeat.
+const MAX_SUMMARIES_BYTES: usize = 400;
 
-/// Most bytes of a summary beside its domain's name.
-const SUMMARY_BYTES: usize = 32;
+/// Maximum size of a summary without the name of its domain.
+const SUMMARY_OVERHEAD_BYTES: usize = 32;
 
-/// Live routers of a failure domain that have installed a revision.
+/// Number of live routers of a failure domain that have installed a revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InForce {
-    /// Routers known to have installed it; there may be more.
+    /// Routers known to have installed it; a lower bound.
     pub installed: usize,
-    /// Live routers.
+    /// All live routers of the domain.
     pub live: usize,
 }
 
-/// The latest summary of each other failure domain.
+/// Latest summary of each other failure domain.
 #[derive(Debug, Default)]
-pub(super) struct Domains {
+pub(super) struct DomainSummaries {
     summaries: BTreeMap<Name, (Summary, Instant)>,
 }
 
-impl Domains {
-    /// Takes in summaries from a heartbeat; the later made one stays.
-    pub(super) fn take_in(&mut self, now: Instant, own: &Name, summaries: Vec<Summary>) {
+impl DomainSummaries {
+    /// Merges summaries from a heartbeat; the newest one of each domain wins.
+    pub(super) fn merge(&mut self, now: Instant, own: &Name, summaries: Vec<Summary>) {
         for summary in summaries {
-            let made = now - Duration::from_millis(u64::from(summary.ms_ago));
+            let created = now - Duration::from_millis(u64::from(summary.ms_ago));
             let known = self.summaries.get(&summary.domain);
             let full = known.is_none() && self.summaries.len() >= MAX_DOMAINS;
-            let later = known.is_none_or(|(_, known)| made > *known);
-            if later && !full && summary.domain != *own {
-                self.summaries.insert(summary.domain.clone(), (summary, made));
+            let newer = known.is_none_or(|(_, known)| created > *known);
+            if newer && !full && summary.domain != *own {
+                self.summaries.insert(summary.domain.clone(), (summary, created));
             }
         }
     }
 
-    /// Drops what is too old.
-    pub(super) fn forget(&mut self, now: Instant) {
-        self.summaries.retain(|_, (_, made)| now.since(*made) < MAX_AGE);
+    /// Removes summaries older than [`MAX_SUMMARY_AGE`].
+    pub(super) fn remove_expired(&mut self, now: Instant) {
+        self.summaries.retain(|_, (_, created)| now.since(*created) < MAX_SUMMARY_AGE);
     }
 
-    /// What is known of each other domain about `revision`.
+    /// Installation counts of `revision` in each other domain.
     pub(super) fn in_force(&self, revision: u64) -> BTreeMap<Name, InForce> {
         let count = |(domain, (summary, _)): (&Name, &(Summary, Instant))| {
             (domain.clone(), summary.in_force(revision))
@@ -67,17 +68,18 @@
         self.summaries.iter().map(count).collect()
     }
 
-    /// The own domain's summary and as many others, at random, as fit.
+    /// Returns the summary of the own domain and a random selection of the
+    /// others, limited to [`MAX_SUMMARIES_BYTES`].
     pub(super) fn sample(&self, now: Instant, own: Summary, rng: &mut Pcg64Mcg) -> Vec<Summary> {
         let known: Vec<_> = self.summaries.values().collect();
-        let mut bytes = SUMMARY_BYTES + own.domain.as_str().len();
+        let mut bytes = SUMMARY_OVERHEAD_BYTES + own.domain.as_str().len();
         let mut sample = vec![own];
-        for (summary, made) in known.sample(rng, known.len()) {
-            bytes += SUMMARY_BYTES + summary.domain.as_str().len();
-            if bytes > MAX_SUMMARY_BYTES {
+        for (summary, created) in known.sample(rng, known.len()) {
+            bytes += SUMMARY_OVERHEAD_BYTES + summary.domain.as_str().len();
+            if bytes > MAX_SUMMARIES_BYTES {
                 break;
             }
-            let ms_ago = u32::try_from(now.since(*made).as_millis()).unwrap_or(u32::MAX);
+            let ms_ago = u32::try_from(now.since(*created).as_millis()).unwrap_or(u32::MAX);
             sample.push(Summary { ms_ago, ..summary.clone() });
         }
         sample
@@ -85,7 +87,8 @@
 }
 
 impl Summary {
-    /// Sums up the revisions that the live routers of a domain have installed.
+    /// Summarizes the revisions that the live routers of a domain have
+    /// installed.
     pub fn new(domain: Name, revisions: &[u64]) -> Self {
         let highest = revisions.iter().copied().max().unwrap_or_default();
         let count = |n: usize| u16::try_from(n).unwrap_or(u16::MAX);
@@ -99,7 +102,7 @@
         }
     }
 
-    /// How many routers are certain to have installed `revision`.
+    /// Lower bound on the number of routers that have installed `revision`.
     pub fn in_force(&self, revision: u64) -> InForce {
         let installed = match revision {
             r if r <= self.lowest => self.live,
--- a/mimosashift/src/member/peer.rs
+++ b/mimosashift/src/member/peer.rs
@@ -1,70 +1,70 @@
-//! Another router as last heard.
+//! State of another router according to its last heartbeat.
 
 use std::time::Duration;
 
 use crate::time::Instant;
 use crate::wire::message::Heartbeat;
 
-/// Silence after which a router counts as suspect.
+/// Time without a heartbeat after which a router counts as suspect.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(3_500);
 
-/// Silence after which a router counts as dead.
+/// Time without a heartbeat after which a router counts as dead.
 pub const DEAD_AFTER: Duration = Duration::from_millis(6_500);
 
-/// How alive a router seems.
+/// Liveness of a router as seen by this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// Heard from recently.
+    /// A heartbeat arrived recently.
     Alive,
-    /// Silent for a few heartbeats.
+    /// No heartbeat for [`SUSPECT_AFTER`].
     Suspect,
-    /// Silent for long.
+    /// No heartbeat for [`DEAD_AFTER`], or presumed dead.
     Dead,
-    /// Shutting down by its own announcement.
+    /// Has announced that it is shutting down.
     Leaving,
 }
 
-/// Another router as last heard.
+/// Another router according to its last heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// Its last heartbeat.
     pub heartbeat: Heartbeat,
-    /// When that arrived.
+    /// Arrival time of the last heartbeat.
     pub heard: Instant,
-    /// When it last read the table's head.
+    /// When the router last polled the head of the configuration table.
     pub polled: Option<Instant>,
-    /// Whether it counts as dead until it is heard from again, because this
-    /// process was paused.
-    pub(super) doubted: bool,
+    /// Set when this process was paused: the router counts as dead until its
+    /// next heartbeat.
+    pub(super) presumed_dead: bool,
 }
 
-/// What a heartbeat led to.
+/// Effect of a received heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The router was not known.
+    /// The router was unknown.
     Joined,
     /// The router was known and is still alive.
     Renewed,
-    /// A later process took the place of the known one.
+    /// A newer process of the router has replaced the known one.
     Replaced,
-    /// The router has announced that it leaves.
+    /// The router has announced that it is shutting down.
     Left,
-    /// The heartbeat comes from a replaced process or is out of order.
+    /// The heartbeat is from a replaced process or out of order; ignored.
     Outdated,
-    /// Too many routers are known.
+    /// The member table is full; ignored.
     Full,
-    /// The heartbeat is this router's own.
+    /// The heartbeat was sent by this router itself; ignored.
     Own,
 }
 
 impl Member {
-    /// How alive the router seems at `now`.
+    /// Liveness of the router at `now`.
     pub fn liveness(&self, now: Instant) -> Liveness {
         let silence = now.since(self.heard);
         if self.heartbeat.leaving {
             return Liveness::Leaving;
         }
-        if self.doubted || silence >= DEAD_AFTER {
+        if self.presumed_dead || silence >= DEAD_AFTER {
             return Liveness::Dead;
         }
         if silence >= SUSPECT_AFTER { Liveness::Suspect } else { Liveness::Alive }
--- a/mimosashift/src/member/transport.rs
+++ b/mimosashift/src/member/transport.rs
@@ -1,8 +1,8 @@
 //! Frames between routers over UDP and TCP.
 //!
-//! Heartbeats are datagrams; requests for configuration, and records too long
-//! for a datagram, each take a short TCP connection. Threads and buffers are
-//! bounded; every read and write has a deadline.
+//! Heartbeats are datagrams. Each request for configuration, and each push of
+//! records too long for a datagram, uses a TCP connection of its own. Threads
+//! and buffers are bounded; every read and write has a deadline.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -16,22 +16,23 @@
 use crate::resource::Name;
 use crate::wire::{self, Frame, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, Ring, Seen};
 
-/// Time allowed for a whole exchange on a connection.
+/// Time limit for a complete exchange on a connection.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Time after which a waiting thread looks whether it has to stop.
-const STOP_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which a waiting thread checks whether it has to stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Most connections served at once; more are closed at once.
+/// Maximum number of concurrent connections; further ones are closed
+/// immediately.
 const MAX_CONNECTIONS: usize = 32;
 
-/// Bytes of the length before a frame on a stream.
+/// Size of the length prefix of a frame on a stream.
 const LENGTH_BYTES: usize = 4;
 
 quick_error! {
-    /// Why a frame was not exchanged.
+    /// Reason why a frame could not be exchanged.
     #[derive(Debug)]
-    #[allow(missing_docs)] // The macro takes no comments on fields.
+    #[allow(missing_docs)] // The macro does not accept doc comments on fields.
     pub enum Error {
         /// The socket failed or timed out.
         Io(error: io::Error) {
@@ -39,23 +40,23 @@
             source(error)
             display("{}", error)
         }
-        /// A frame was refused.
+        /// A frame was rejected.
         Frame(error: wire::Error) {
             from()
             source(error)
             display("{}", error)
         }
-        /// The frame was seen before.
+        /// The frame had been received before.
         Replayed {
-            display("frame was received before")
+            display("frame has already been received")
         }
     }
 }
 
-/// Takes in a frame and returns the answer, if it has one.
+/// Handles a received frame and returns the response, if there is one.
 pub type Handler = dyn Fn(Frame) -> Option<Message> + Send + Sync;
 
-/// The sockets of one router. Dropping it stops its threads.
+/// Sockets of a router. Dropping it stops its threads.
 pub struct Transport {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
@@ -67,8 +68,8 @@
     sender: Name,
     incarnation: AtomicU64,
     sequence: AtomicU64,
-    /// The only lock here; nothing is called while it is held.
-    seen: Mutex<Seen>,
+    /// The only lock of the transport; no handler runs while it is held.
+    replay_filter: Mutex<Seen>,
     refused: AtomicU64,
     sent_bytes: AtomicU64,
     connections: AtomicUsize,
@@ -77,8 +78,8 @@
 }
 
 impl Transport {
-    /// Listens for datagrams and connections on `address`, which must name a
-    /// port.
+    /// Listens for datagrams and connections on `address`, whose port must not
+    /// be 0.
     pub fn bind(
         address: SocketAddr,
         ring: Ring,
@@ -87,7 +88,7 @@
         handler: Box<Handler>,
     ) -> io::Result<Self> {
         let socket = UdpSocket::bind(address)?;
-        socket.set_read_timeout(Some(STOP_INTERVAL))?;
+        socket.set_read_timeout(Some(STOP_CHECK_INTERVAL))?;
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         let shared = Arc::new(Shared {
@@ -96,7 +97,7 @@
             sender,
             incarnation: AtomicU64::new(incarnation),
             sequence: AtomicU64::new(0),
-            seen: Mutex::default(),
+            replay_filter: Mutex::default(),
             refused: AtomicU64::new(0),
             sent_bytes: AtomicU64::new(0),
             connections: AtomicUsize::new(0),
@@ -108,30 +109,31 @@
         Ok(Self { shared, threads: vec![datagrams, streams] })
     }
 
-    /// Signs later frames with another incarnation, after a pause.
+    /// Sets the incarnation of later frames; it changes after a pause of the
+    /// process.
     pub fn set_incarnation(&self, incarnation: u64) {
         self.shared.incarnation.store(incarnation, Ordering::Relaxed);
     }
 
-    /// Frames refused so far: malformed, forged, replayed or too many.
+    /// Number of frames refused: malformed, forged, replayed or above a limit.
     pub fn refused(&self) -> u64 {
         self.shared.refused.load(Ordering::Relaxed)
     }
 
-    /// Bytes of frames sent so far, without the headers of IP, UDP and TCP.
+    /// Bytes of frames sent, without the headers of IP, UDP and TCP.
     pub fn sent_bytes(&self) -> u64 {
         self.shared.sent_bytes.load(Ordering::Relaxed)
     }
 
-    /// Sends a message as one datagram; it may be lost.
+    /// Sends a message as one datagram, without guarantee of delivery.
     pub fn send(&self, to: SocketAddr, message: Message) -> Result<(), Error> {
         let bytes = self.shared.seal(message, MAX_DATAGRAM_BYTES)?;
         self.shared.socket.send_to(&bytes, to)?;
         Ok(())
     }
 
-    /// Sends a message over a connection and waits for the answer, `None`
-    /// when the peer has none to give.
+    /// Sends a message over a new connection and waits for the response; `None`
+    /// if the peer closes the connection without one.
     pub fn request(&self, to: SocketAddr, message: Message) -> Result<Option<Frame>, Error> {
         let deadline = Instant::now() + EXCHANGE_TIMEOUT;
         let mut stream = TcpStream::connect_timeout(&to, EXCHANGE_TIMEOUT)?;
@@ -144,7 +146,7 @@
     fn read_datagrams(&self) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         while !self.stopping.load(Ordering::Relaxed) {
-            // A timeout and errors of earlier sends end the wait alike.
+            // Besides timeouts, errors of earlier sends are reported here.
             let Ok((length, _)) = self.socket.recv_from(&mut buffer) else { continue };
             match self.open(&buffer[..length], MAX_DATAGRAM_BYTES) {
                 Ok(frame) => drop((self.handler)(frame)),
@@ -156,13 +158,13 @@
     fn accept(self: &Arc<Self>, listener: &TcpListener) {
         while !self.stopping.load(Ordering::Relaxed) {
             match listener.accept() {
-                Ok((stream, _)) => self.start_serving(stream),
-                Err(_) => thread::sleep(STOP_INTERVAL / 10),
+                Ok((stream, _)) => self.spawn_connection_handler(stream),
+                Err(_) => thread::sleep(STOP_CHECK_INTERVAL / 10),
             }
         }
     }
 
-    fn start_serving(self: &Arc<Self>, stream: TcpStream) {
+    fn spawn_connection_handler(self: &Arc<Self>, stream: TcpStream) {
         if self.connections.fetch_add(1, Ordering::Relaxed) >= MAX_CONNECTIONS {
             self.connections.fetch_sub(1, Ordering::Relaxed);
             self.count_refused();
@@ -180,13 +182,13 @@
         }
     }
 
-    /// Answers one request.
+    /// Handles the single request of a connection.
     fn serve(&self, mut stream: TcpStream) -> Result<(), Error> {
         stream.set_nonblocking(false)?;
         let deadline = Instant::now() + EXCHANGE_TIMEOUT;
         let Some(frame) = self.read(&mut stream, deadline)? else { return Ok(()) };
-        if let Some(answer) = (self.handler)(frame) {
-            self.write(&mut stream, answer, deadline)?;
+        if let Some(response) = (self.handler)(frame) {
+            self.write(&mut stream, response, deadline)?;
         }
         Ok(())
     }
@@ -205,8 +207,8 @@
 
     fn open(&self, bytes: &[u8], limit: usize) -> Result<Frame, Error> {
         let frame = self.ring.open(bytes, limit)?;
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        if !seen.accept(&frame.sender, frame.incarnation, frame.sequence) {
+        let mut replay_filter = self.replay_filter.lock().unwrap_or_else(PoisonError::into_inner);
+        if !replay_filter.accept(&frame.sender, frame.incarnation, frame.sequence) {
             return Err(Error::Replayed);
         }
         Ok(frame)
@@ -219,7 +221,7 @@
         deadline: Instant,
     ) -> Result<(), Error> {
         let frame = self.seal(message, MAX_STREAM_BYTES)?;
-        let length = u32::try_from(frame.len()).expect("the bound of a frame fits 32 bits");
+        let length = u32::try_from(frame.len()).expect("MAX_STREAM_BYTES fits in 32 bits");
         let mut bytes = length.to_be_bytes().to_vec();
         bytes.extend_from_slice(&frame);
         stream.set_write_timeout(Some(remaining(deadline)?))?;
@@ -227,10 +229,10 @@
         Ok(())
     }
 
-    /// Reads a frame; `None` when the peer closed without one.
+    /// Reads a frame; `None` if the peer has closed the connection without one.
     fn read(&self, stream: &mut TcpStream, deadline: Instant) -> Result<Option<Frame>, Error> {
         let mut prefix = [0; LENGTH_BYTES];
-        if !read_all(stream, &mut prefix, deadline)? {
+        if !read_full(stream, &mut prefix, deadline)? {
             return Ok(None);
         }
         let length = usize::try_from(u32::from_be_bytes(prefix)).unwrap_or(usize::MAX);
@@ -238,7 +240,7 @@
             return Err(wire::Error::TooLong { bytes: length, limit: MAX_STREAM_BYTES }.into());
         }
         let mut bytes = vec![0; length];
-        if !read_all(stream, &mut bytes, deadline)? {
+        if !read_full(stream, &mut bytes, deadline)? {
             return Err(wire::Error::Truncated.into());
         }
         self.open(&bytes, MAX_STREAM_BYTES).map(Some)
@@ -253,17 +255,17 @@
     fn drop(&mut self) {
         self.shared.stopping.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
-            // A panic of the thread has been reported by itself.
+            // The panic hook has already reported a panic of the thread.
             let _ = thread.join();
         }
     }
 }
 
-/// Fills the buffer; `false` when the stream ends before its first byte.
+/// Fills the buffer; `false` if the stream ends before its first byte.
 ///
-/// The deadline covers the whole buffer, so that a peer which sends single
-/// bytes cannot hold the thread.
-fn read_all(stream: &mut TcpStream, buffer: &mut [u8], deadline: Instant) -> io::Result<bool> {
+/// The deadline applies to the whole buffer, so that a peer that sends one byte
+/// at a time cannot block the thread indefinitely.
+fn read_full(stream: &mut TcpStream, buffer: &mut [u8], deadline: Instant) -> io::Result<bool> {
     let mut filled = 0;
     while filled < buffer.len() {
         stream.set_read_timeout(Some(remaining(deadline)?))?;
--- a/mimosashift/src/peer/mod.rs
+++ b/mimosashift/src/peer/mod.rs
@@ -1,7 +1,8 @@
-//! Other routers: who they are, what they use, what they know.
+//! Gossip with other routers: their liveness, endpoint usage and view of the
+//! store.
 //!
-//! Soft state only. Each router sends every other one a digest at a fixed
-//! budget of bytes; see `docs/design/peers.md`.
+//! All of it is soft state. Each router sends a digest to every other one
+//! within a fixed byte rate; see `docs/design/peers.md`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,132 +15,136 @@
 use crate::freshness::PeerConfirmation;
 use crate::time::Instant;
 
-/// Shortest time between two digests to a peer of the own zone.
-const MIN_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum time between two digests to a peer in the same zone.
+const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest such time: what peers use would be too old to admit requests by.
-const MAX_INTERVAL: Duration = Duration::from_millis(300);
+/// Maximum time between two digests to a peer in the same zone; with a longer
+/// one the usage of peers would be too old for admission decisions.
+const MAX_DIGEST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Rounds of digests to the own zone for one to all zones: requests run in
-/// their own zone for the most part.
-const ROUNDS_PER_FAR: u64 = 3;
+/// Every this many rounds a digest goes to all zones instead of only the own
+/// one; most requests are served within their zone.
+const ROUNDS_PER_REMOTE: u64 = 3;
 
-/// Bytes a second that a router means to spend on digests: under the 16 KB/s
-/// that all control traffic may take.
-const BYTES_PER_S: u64 = 12_000;
+/// Target rate for digests, below the 16 KB/s allowed for all control
+/// traffic.
+const DIGEST_BYTES_PER_S: u64 = 12_000;
 
-/// Silence after which a peer counts as dead: several digests.
+/// Time without a digest after which a peer counts as dead; several digest
+/// intervals.
 const DEAD_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Time without the store after which a router no longer reads it for others:
-/// more than the time between two readings.
-const READER_STALE: Duration = Duration::from_millis(1_500);
+/// Age of the last store contact above which a router no longer reads the store
+/// for others; longer than the interval between two reads.
+const READER_MAX_STORE_AGE: Duration = Duration::from_millis(1_500);
 
-/// Time without the store after which a router orders no more layers, if
-/// another one reaches the store: its view of the endpoints is old.
+/// Time without contact to the store after which a router no longer places
+/// layers if another one reaches the store, because its view of the endpoints
+/// is out of date.
 pub const STORE_LOST: Duration = Duration::from_millis(2_000);
 
-/// Silence after which a router is no longer relied on to read the store: some
-/// digests, and well within the time in which a configuration takes hold.
-const READER_SILENT: Duration = Duration::from_millis(700);
+/// Time without a digest after which a router is no longer relied on to read
+/// the store: a few digest intervals, and well below the time within which a
+/// configuration must take effect.
+const READER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Silence after which a peer's address is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+/// Time for which a peer or its address is kept without a digest.
+const PEER_RETENTION: Duration = Duration::from_secs(60);
 
-/// Addresses of other routers in one digest.
-const SHARED_ADDRESSES: usize = 8;
+/// Maximum number of router addresses in one digest.
+const ADDRESSES_PER_DIGEST: usize = 8;
 
-/// Endpoints in one digest; those that are used most go first.
-const MAX_USAGE: usize = 64;
+/// Maximum number of endpoints with usage in one digest; the most used are kept.
+const MAX_USAGE_ENTRIES: usize = 64;
 
-/// Dead endpoints in one digest; more at once are a cut, which each router
-/// finds by itself.
-const MAX_DEAD: usize = 8;
+/// Maximum number of dead endpoints in one digest; more at once indicate a
+/// network partition, which each router detects by itself.
+const MAX_DEAD_ENDPOINTS: usize = 8;
 
-/// What a router tells a peer.
+/// State that a router sends to its peers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Its name.
+    /// Name of the sender.
     pub node: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the sender.
     pub zone: Arc<str>,
-    /// Drawn at each start, rising.
+    /// Incarnation number of the process; increases with each start.
     pub incarnation: u64,
-    /// Rises with every digest.
+    /// Sequence number; increases with each digest.
     pub sequence: u64,
-    /// The sender's clock, to be returned.
+    /// Send time by the clock of the sender, which the receiver echoes.
     pub stamp: Instant,
-    /// The receiver's stamp that arrived last.
+    /// Last timestamp received from the receiver of this digest.
     pub echo: Option<Instant>,
-    /// Whether it is shutting down.
+    /// Whether the sender is shutting down.
     pub leaving: bool,
-    /// Whether it holds the lease on placement.
+    /// Whether the sender holds the placement lease.
     pub leads: bool,
-    /// What it knows of the configuration.
+    /// Configuration known to the sender.
     pub config: Option<Config>,
-    /// Time since it last reached the store.
+    /// Time since the sender last reached the store.
     pub store_age: Option<Duration>,
-    /// Whether its last call to the store failed.
+    /// Whether the last call of the sender to the store failed.
     pub store_lost: bool,
-    /// What it knows of the directory.
+    /// Endpoint directory known to the sender.
     pub directory: Option<Directory>,
-    /// What it uses of endpoints.
+    /// Resources of endpoints that the sender uses, by endpoint.
     pub usage: Vec<(u64, Usage)>,
-    /// What it has seen change of endpoints lately.
+    /// Recent changes of endpoints that the sender has observed.
     pub observed: Vec<Observation>,
-    /// Endpoints that gave it no answer, with their incarnations.
+    /// Endpoints that did not answer the sender, with their incarnations.
     pub dead: Vec<(u64, u64)>,
     /// Addresses of other routers.
     pub peers: Vec<SocketAddr>,
 }
 
-/// What a router knows of the configuration.
+/// Configuration known to a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
     /// Revision in force.
     pub revision: u64,
-    /// Time since it was last known to be the newest.
+    /// Time since it was last confirmed as the newest.
     pub age: Option<Duration>,
 }
 
-/// What a router knows of the directory.
+/// Endpoint directory known to a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Directory {
-    /// Stands for the endpoints, their starts and whether they leave.
+    /// Hash of the endpoints, their incarnations and whether they are ready.
     pub fingerprint: u64,
-    /// Time since the store showed it.
+    /// Time since the directory was read from the store.
     pub age: Duration,
 }
 
-/// A peer as last heard.
+/// A peer according to its last digest.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Where it listens.
+    /// Address on which the peer listens.
     pub address: SocketAddr,
-    /// Its last digest.
+    /// Last digest received.
     pub digest: Digest,
-    /// When that arrived.
+    /// Arrival time of the last digest.
     pub heard: Instant,
 }
 
-/// What a digest led to.
+/// Effect of a received digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The peer is new or started anew.
+    /// The peer is new or has restarted.
     Joined,
-    /// The peer goes on.
+    /// The peer was known and is still alive.
     Renewed,
-    /// The digest is older than one that arrived.
+    /// The digest is older than one already received; ignored.
     Outdated,
 }
 
-/// The routers that this one knows.
+/// Peers known to a router.
 #[derive(Debug)]
 pub struct Peers {
     own: SocketAddr,
     zone: Arc<str>,
     known: BTreeMap<Arc<str>, Peer>,
-    /// Addresses to greet, with the time until which they are worth it.
+    /// Addresses that receive digests, with the time at which they expire.
     addresses: BTreeMap<SocketAddr, Instant>,
     sequence: u64,
     rounds: u64,
@@ -148,7 +153,7 @@
 }
 
 impl Peers {
-    /// Starts with the addresses of the settings.
+    /// Creates a peer table that knows only the seed addresses.
     pub fn new(own: SocketAddr, zone: Arc<str>, seeds: &[SocketAddr], now: Instant) -> Self {
         let mut peers = Self {
             own,
@@ -164,14 +169,14 @@
         peers
     }
 
-    /// Takes in addresses of routers.
+    /// Adds addresses of routers.
     pub fn learn(&mut self, addresses: &[SocketAddr], now: Instant) {
         for address in addresses.iter().filter(|address| **address != self.own) {
-            self.addresses.entry(*address).or_insert(now + FORGET_AFTER);
+            self.addresses.entry(*address).or_insert(now + PEER_RETENTION);
         }
     }
 
-    /// Peers that count as alive, by name.
+    /// Peers that count as alive, ordered by name.
     pub fn alive(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         self.known.values().filter(move |peer| peer.is_alive(now))
     }
@@ -181,34 +186,35 @@
         self.known.get(node).is_some_and(|peer| peer.is_alive(now))
     }
 
-    /// Whether a live router has lost the store while another one reaches it.
+    /// Whether a live router has lost the store while another peer reaches it.
     pub fn is_without_store(&self, node: &str, now: Instant) -> bool {
         let lost = self.known.get(node).is_some_and(|peer| {
-            let old = peer.store_age(now).is_none_or(|age| age > STORE_LOST);
-            peer.is_alive(now) && peer.digest.store_lost && old
+            let stale = peer.store_age(now).is_none_or(|age| age > STORE_LOST);
+            peer.is_alive(now) && peer.digest.store_lost && stale
         });
         lost && self.reaches_store(now)
     }
 
     /// Whether a live peer reaches the store.
     pub fn reaches_store(&self, now: Instant) -> bool {
-        self.alive(now).any(|peer| peer.store_age(now).is_some_and(|age| age < READER_STALE))
+        self.alive(now)
+            .any(|peer| peer.store_age(now).is_some_and(|age| age < READER_MAX_STORE_AGE))
     }
 
-    /// Whether a router was known and has gone silent.
+    /// Whether a router is known but no longer alive.
     pub fn is_dead(&self, node: &str, now: Instant) -> bool {
         self.known.get(node).is_some_and(|peer| !peer.is_alive(now))
     }
 
-    /// The addresses to send a digest to now, with the stamp to return to
-    /// each; empty while none is due.
+    /// Addresses that are due a digest, with the timestamp to echo to each;
+    /// empty if no round is due.
     pub fn due(&mut self, now: Instant) -> Vec<(SocketAddr, Option<Instant>)> {
         if now < self.next {
             return Vec::new();
         }
-        self.known.retain(|_, peer| now.since(peer.heard) < FORGET_AFTER);
-        self.addresses.retain(|_, until| now < *until);
-        let all = self.rounds.is_multiple_of(ROUNDS_PER_FAR);
+        self.known.retain(|_, peer| now.since(peer.heard) < PEER_RETENTION);
+        self.addresses.retain(|_, expires| now < *expires);
+        let all = self.rounds.is_multiple_of(ROUNDS_PER_REMOTE);
         self.rounds += 1;
         let mut due = Vec::new();
         for address in self.addresses.keys() {
@@ -217,45 +223,47 @@
                 due.push((*address, peer.map(|peer| peer.digest.stamp)));
             }
         }
-        self.next = now + interval(due.len(), self.last_bytes);
+        self.next = now + round_interval(due.len(), self.last_bytes);
         due
     }
 
-    /// The router of the own zone that reads the store for `node`, if another
-    /// one does: the first by name that is alive and reaches the store.
+    /// The router in the own zone that reads the store on behalf of `node`: the
+    /// first by name that is alive and reaches the store. `None` if `node` has
+    /// to read the store itself.
     pub fn reader(&self, node: &str, now: Instant) -> Option<&Peer> {
         let reads = |peer: &&Peer| {
             let age = peer.store_age(now);
             peer.digest.zone == self.zone
-                && now.since(peer.heard) < READER_SILENT
-                && age.is_some_and(|age| age < READER_STALE)
+                && now.since(peer.heard) < READER_TIMEOUT
+                && age.is_some_and(|age| age < READER_MAX_STORE_AGE)
         };
         self.alive(now).find(reads).filter(|peer| &*peer.digest.node < node)
     }
 
-    /// The number of the next digest.
+    /// Returns the sequence number for the next digest.
     pub fn number(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
-    /// Notes how large a digest was, which sets their rate.
+    /// Records the size of a digest, which determines the interval between
+    /// rounds.
     pub fn sent(&mut self, bytes: usize) {
         self.last_bytes = bytes;
     }
 
-    /// Addresses of routers that are alive, for digests.
+    /// Addresses of live routers to include in a digest.
     pub fn share(&self, now: Instant) -> Vec<SocketAddr> {
-        self.alive(now).map(|peer| peer.address).take(SHARED_ADDRESSES).collect()
+        self.alive(now).map(|peer| peer.address).take(ADDRESSES_PER_DIGEST).collect()
     }
 
-    /// Takes in a digest.
+    /// Applies a received digest.
     pub fn hear(&mut self, from: SocketAddr, digest: Digest, now: Instant) -> Event {
         self.learn(&digest.peers, now);
-        self.addresses.insert(from, now + FORGET_AFTER);
-        let order = |digest: &Digest| (digest.incarnation, digest.sequence);
+        self.addresses.insert(from, now + PEER_RETENTION);
+        let version = |digest: &Digest| (digest.incarnation, digest.sequence);
         let event = match self.known.get(&digest.node) {
-            Some(known) if order(&known.digest) >= order(&digest) => return Event::Outdated,
+            Some(known) if version(&known.digest) >= version(&digest) => return Event::Outdated,
             Some(known) if known.digest.incarnation == digest.incarnation => Event::Renewed,
             _ => Event::Joined,
         };
@@ -265,38 +273,39 @@
     }
 }
 
-/// Time between two rounds of digests that keeps within the budget of bytes.
-fn interval(peers: usize, bytes: usize) -> Duration {
+/// Interval between two rounds of digests that keeps to [`DIGEST_BYTES_PER_S`].
+fn round_interval(peers: usize, bytes: usize) -> Duration {
     let bytes = (peers * bytes) as u64;
-    Duration::from_micros(bytes * 1_000_000 / BYTES_PER_S).clamp(MIN_INTERVAL, MAX_INTERVAL)
+    Duration::from_micros(bytes * 1_000_000 / DIGEST_BYTES_PER_S)
+        .clamp(MIN_DIGEST_INTERVAL, MAX_DIGEST_INTERVAL)
 }
 
 impl Peer {
-    /// Time since it last reached the store.
+    /// Time since the peer last reached the store.
     fn store_age(&self, now: Instant) -> Option<Duration> {
         self.digest.store_age.map(|age| age + now.since(self.heard))
     }
 
-    /// Whether it counts as alive.
+    /// Whether the peer counts as alive.
     pub fn is_alive(&self, now: Instant) -> bool {
         !self.digest.leaving && now.since(self.heard) < DEAD_AFTER
     }
 }
 
 impl Digest {
-    /// The confirmation of the configuration that it passes on, if it returns
-    /// a stamp from which its age can be counted.
+    /// Confirmation of the configuration by the sender, if the digest echoes a
+    /// timestamp from which its age can be determined.
     pub fn relayed(&self) -> Option<PeerConfirmation> {
         let Config { revision, age } = self.config?;
         Some(PeerConfirmation { request_sent: self.echo?, revision, age: age? })
     }
 
-    /// Keeps the use of the endpoints that are used most, and a few dead ones.
+    /// Truncates the digest to the most used and to a few dead endpoints.
     pub fn limit(&mut self) {
-        self.dead.truncate(MAX_DEAD);
-        if self.usage.len() > MAX_USAGE {
+        self.dead.truncate(MAX_DEAD_ENDPOINTS);
+        if self.usage.len() > MAX_USAGE_ENTRIES {
             self.usage.sort_by(|a, b| b.1.cache.total_cmp(&a.1.cache));
-            self.usage.truncate(MAX_USAGE);
+            self.usage.truncate(MAX_USAGE_ENTRIES);
         }
     }
 }
--- a/mimosashift/src/stream.rs
+++ b/mimosashift/src/stream.rs
@@ -1,67 +1,69 @@
-//! Events of a stream: cut whole from the bytes, counted, resumed once.
+//! Splits a stream of server-sent events into complete events.
 //!
-//! Only whole events are passed on, so that a stream that breaks off can go
-//! on after the last one with nothing missing and nothing twice.
+//! Only complete events are forwarded, so that an interrupted stream can be
+//! resumed after the last one without gaps or duplicates.
 
 use std::mem;
 
-/// Bytes of an event that has not ended; a larger one is no event stream.
+/// Maximum size of an incomplete event; more bytes without an event end are not
+/// an event stream.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Cuts a stream into events.
+/// Splits the bytes of a stream into events.
 #[derive(Debug, Default)]
 pub struct Events {
     partial: Vec<u8>,
     last: Option<u64>,
 }
 
-/// Whole events to pass on.
+/// Complete events to forward.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Whole {
-    /// Their bytes.
+    /// Concatenated bytes of the events.
     pub bytes: Vec<u8>,
-    /// How many they are.
+    /// Number of events.
     pub count: usize,
 }
 
-/// The bytes are no event stream.
+/// An incomplete event exceeds [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Oversized;
 
 impl Events {
-    /// A stream of which the client has the events up to `last`.
+    /// Resumes a stream of which the client has the events up to id `last`.
     pub const fn after(last: Option<u64>) -> Self {
         Self { partial: Vec::new(), last }
     }
 
-    /// The last event passed on.
+    /// Id of the last event forwarded.
     pub const fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Forgets the event that was broken off, before the stream goes on.
+    /// Discards the incomplete event of an interrupted stream before it is
+    /// resumed.
     pub fn restart(&mut self) {
         self.partial.clear();
     }
 
-    /// Whether bytes of an event are left that never ended.
+    /// Whether bytes of an incomplete event are buffered.
     pub const fn is_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Takes in bytes and returns the events that they complete, without
-    /// those that were passed on before.
+    /// Appends bytes and returns the events that they complete, without those
+    /// already forwarded.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Whole, Oversized> {
         self.partial.extend_from_slice(bytes);
-        let mut whole = Whole::default();
+        let mut complete = Whole::default();
         let mut from = 0;
         while let Some(length) = event_length(&self.partial[from..]) {
             let event = &self.partial[from..from + length];
             let id = event_id(event);
-            let repeated = id.is_some() && id <= self.last;
-            if !repeated {
-                whole.bytes.extend_from_slice(event);
-                whole.count += 1;
+            let duplicate = id.is_some() && id <= self.last;
+            if !duplicate {
+                complete.bytes.extend_from_slice(event);
+                complete.count += 1;
                 self.last = id.or(self.last);
             }
             from += length;
@@ -70,22 +72,22 @@
         if self.partial.len() > MAX_EVENT_BYTES {
             return Err(Oversized);
         }
-        Ok(whole)
+        Ok(complete)
     }
 
-    /// The bytes after the last whole event, at the end of a stream.
+    /// Takes the bytes after the last complete event, at the end of a stream.
     pub fn rest(&mut self) -> Vec<u8> {
         mem::take(&mut self.partial)
     }
 }
 
-/// Length of the first event with the empty line that ends it.
+/// Length of the first event, including the empty line that ends it.
 fn event_length(bytes: &[u8]) -> Option<usize> {
-    let ends = [b"\n\n".as_slice(), b"\r\n\r\n".as_slice()];
+    let terminators = [b"\n\n".as_slice(), b"\r\n\r\n".as_slice()];
     let end = |end: &[u8]| {
         bytes.windows(end.len()).position(|window| window == end).map(|at| at + end.len())
     };
-    ends.into_iter().filter_map(end).min()
+    terminators.into_iter().filter_map(end).min()
 }
 
 fn event_id(event: &[u8]) -> Option<u64> {
--- a/mimosashift/src/wire/message.rs
+++ b/mimosashift/src/wire/message.rs
@@ -10,82 +10,84 @@
 use crate::config::{Record, Version};
 use crate::resource::{Name, Resource};
 
-/// Most bytes of payloads in one heartbeat.
+/// Maximum size of the payloads in one heartbeat.
 pub const MAX_PAYLOAD_BYTES: usize = 512;
 
-/// What one router tells another.
+/// Message from one router to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender is alive.
+    /// Announces that the sender is alive.
     Heartbeat(Heartbeat),
-    /// The sender asks for configuration.
+    /// Requests configuration.
     Request(Request),
-    /// Configuration asked for or pushed.
+    /// Configuration that was requested or is pushed.
     Reply(Bundle),
-    /// Small reports that are due more often than heartbeats.
+    /// Small reports that are sent more often than heartbeats.
     Reports(Vec<Payload>),
 }
 
-/// What a router tells about itself.
+/// State that a router announces about itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Name of the router.
     pub node: Name,
-    /// Its failure domain.
+    /// Failure domain of the router.
     pub domain: Name,
-    /// Address on which it hears.
+    /// Address on which it receives heartbeats.
     pub address: SocketAddr,
-    /// Start of the process in microseconds of Unix time, made unique.
+    /// Incarnation number of the process, derived from its start time.
     pub incarnation: u64,
-    /// Number of the heartbeat within the incarnation.
+    /// Sequence number of the heartbeat within the incarnation.
     pub sequence: u64,
-    /// Configuration installed.
+    /// Version of the installed configuration.
     pub version: Version,
-    /// Milliseconds since it last read the table's head.
+    /// Milliseconds since the router last polled the head of the configuration
+    /// table.
     pub polled_ms_ago: Option<u32>,
     /// Whether it is shutting down.
     pub leaving: bool,
-    /// Addresses of other routers, a few at random.
+    /// Addresses of a few randomly chosen routers.
     pub peers: SmallVec<[SocketAddr; 2]>,
-    /// What the sender knows of failure domains.
+    /// Summaries of failure domains known to the sender.
     pub domains: Vec<Summary>,
-    /// Small reports of other parts.
+    /// Small reports of other modules.
     pub payloads: Vec<Payload>,
 }
 
-/// What the live routers of a failure domain have installed.
+/// Configuration revisions that the live routers of a failure domain have
+/// installed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The domain.
+    /// Name of the domain.
     pub domain: Name,
     /// Number of live routers.
     pub live: u16,
-    /// Lowest revision that one of them has installed.
+    /// Lowest revision installed on any of them.
     pub lowest: u64,
-    /// Highest revision that one of them has installed.
+    /// Highest revision installed on any of them.
     pub highest: u64,
     /// Number of routers that have installed `highest`.
     pub at_highest: u16,
-    /// Milliseconds since the summary was made.
+    /// Milliseconds since the summary was created.
     pub ms_ago: u32,
 }
 
-/// A small report of another part, opaque here.
+/// Small report of another module, opaque to membership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Payload {
-    /// Which part reports.
+    /// Identifies the reporting module.
     pub tag: u8,
-    /// Its report.
+    /// Encoded report.
     pub bytes: Vec<u8>,
 }
 
-/// A [`Reply`] as it is sent: records and resources travel as JSON, as they
-/// stand in the table, so that routers of two versions understand each other.
+/// Wire form of a [`Reply`]. Records and resources are encoded as JSON, as in
+/// the table, so that routers of two versions can exchange them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Bundle {
     /// Records in order.
     Records(Vec<String>),
-    /// Part of a snapshot.
+    /// Chunk of a snapshot.
     Chunk {
         /// Version of the whole snapshot.
         version: Version,
--- a/mimosashift/src/wire/mod.rs
+++ b/mimosashift/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! Frames between routers: encoded, authenticated and bounded.
+//! Wire format of frames between routers, with authentication and size limits.
 //!
 //! A frame is a version byte, a key id, a postcard body and a truncated
-//! HMAC-SHA-256 over all of it. See `docs/design/membership.md`.
+//! HMAC-SHA-256 tag over all of these. See `docs/design/membership.md`.
 
 use hmac::{Hmac, KeyInit, Mac};
 use quick_error::quick_error;
@@ -16,38 +16,38 @@
 pub use message::Message;
 pub use replay::{Seen, Window};
 
-/// Version of the encoding.
+/// Version of the wire format.
 const VERSION: u8 = 1;
 
-/// Bytes of the truncated authentication code.
-const CODE_BYTES: usize = 16;
+/// Size of the truncated authentication tag.
+const TAG_BYTES: usize = 16;
 
-/// Bytes before the body: version and key id.
+/// Size of the header: version and key id.
 const HEADER_BYTES: usize = 2;
 
-/// Most bytes of a datagram, below the usual path MTU.
+/// Maximum size of a datagram, below the usual path MTU.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// Most bytes of a frame on a stream.
+/// Maximum size of a frame on a stream.
 pub const MAX_STREAM_BYTES: usize = 256 * 1_024;
 
-/// Least bytes of a secret.
+/// Minimum size of a secret.
 pub const MIN_SECRET_BYTES: usize = 16;
 
 quick_error! {
-    /// Why a frame was refused.
+    /// Reason why a frame was refused.
     #[derive(Clone, Debug, PartialEq, Eq)]
-    #[allow(missing_docs)] // The macro takes no comments on fields.
+    #[allow(missing_docs)] // The macro does not accept doc comments on fields.
     pub enum Error {
-        /// The frame exceeds the bound of its transport.
+        /// The frame exceeds the size limit of its transport.
         TooLong { bytes: usize, limit: usize } {
-            display("frame has {} bytes, at most {} are allowed", bytes, limit)
+            display("frame of {} bytes exceeds the limit of {} bytes", bytes, limit)
         }
-        /// The frame ends before its code.
+        /// The frame is too short to hold header and tag.
         Truncated {
-            display("frame is too short")
+            display("frame is truncated")
         }
-        /// The encoding is not known.
+        /// The version of the wire format is not supported.
         Version(found: u8) {
             display("frame has version {}, expected {}", found, VERSION)
         }
@@ -55,11 +55,11 @@
         Key(id: u8) {
             display("frame is signed with unknown key {}", id)
         }
-        /// The code does not match.
+        /// The authentication tag does not match.
         Forged {
-            display("frame fails its authentication")
+            display("frame authentication failed")
         }
-        /// The body is not a frame.
+        /// The body cannot be decoded.
         Malformed {
             display("frame body is malformed")
         }
@@ -70,28 +70,28 @@
     }
 }
 
-/// A message with what its receiver needs against replay.
+/// Message with the fields that protect it against replay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
     /// Name of the sending router.
     pub sender: Name,
-    /// Incarnation of its process.
+    /// Incarnation number of the sending process.
     pub incarnation: u64,
-    /// Number of the frame within the incarnation, rising from 1.
+    /// Sequence number of the frame within the incarnation, starting at 1.
     pub sequence: u64,
     /// The message.
     pub message: Message,
 }
 
-/// A secret shared by all routers.
+/// Key shared by all routers.
 #[derive(Clone)]
 pub struct Key {
     id: u8,
     secret: Vec<u8>,
 }
 
-/// The keys in use: frames are signed with the current one, and the previous
-/// one is accepted while a new key is rolled out.
+/// Keys in use. Frames are signed with the current key; the previous one is
+/// still accepted while a new key is rolled out.
 #[derive(Clone, Debug)]
 pub struct Ring {
     current: Key,
@@ -99,7 +99,7 @@
 }
 
 impl Key {
-    /// A key with the id under which all routers know it.
+    /// Creates a key; its id must be the same on all routers.
     pub fn new(id: u8, secret: impl Into<Vec<u8>>) -> Result<Self, Error> {
         let secret = secret.into();
         if secret.len() < MIN_SECRET_BYTES {
@@ -110,12 +110,12 @@
 
     fn mac(&self, bytes: &[u8]) -> Hmac<Sha256> {
         let mac = Hmac::<Sha256>::new_from_slice(&self.secret);
-        mac.expect("HMAC takes keys of any length").chain_update(bytes)
+        mac.expect("HMAC accepts keys of any length").chain_update(bytes)
     }
 }
 
 impl Ring {
-    /// Signs with `current` and accepts both.
+    /// Creates a key ring that signs with `current` and accepts both keys.
     pub const fn new(current: Key, previous: Option<Key>) -> Self {
         Self { current, previous }
     }
@@ -124,25 +124,25 @@
     pub fn seal(&self, frame: &Frame, limit: usize) -> Result<Vec<u8>, Error> {
         let header = vec![VERSION, self.current.id];
         let mut bytes = postcard::to_extend(frame, header).map_err(|_| Error::Malformed)?;
-        let code = self.current.mac(&bytes).finalize().into_bytes();
-        bytes.extend_from_slice(&code[..CODE_BYTES]);
-        within(&bytes, limit)?;
+        let tag = self.current.mac(&bytes).finalize().into_bytes();
+        bytes.extend_from_slice(&tag[..TAG_BYTES]);
+        check_length(&bytes, limit)?;
         Ok(bytes)
     }
 
-    /// Checks and decodes a frame of at most `limit` bytes.
+    /// Authenticates and decodes a frame of at most `limit` bytes.
     ///
-    /// The caller still has to check the sequence against a [`Window`].
+    /// The caller must check the sequence number against a [`Window`].
     pub fn open(&self, bytes: &[u8], limit: usize) -> Result<Frame, Error> {
-        within(bytes, limit)?;
-        let end = bytes.len().checked_sub(CODE_BYTES).ok_or(Error::Truncated)?;
-        let (signed, code) = bytes.split_at(end);
+        check_length(bytes, limit)?;
+        let end = bytes.len().checked_sub(TAG_BYTES).ok_or(Error::Truncated)?;
+        let (signed, tag) = bytes.split_at(end);
         let body = signed.get(HEADER_BYTES..).ok_or(Error::Truncated)?;
         if signed[0] != VERSION {
             return Err(Error::Version(signed[0]));
         }
         let key = self.key(signed[1])?;
-        key.mac(signed).verify_truncated_left(code).map_err(|_| Error::Forged)?;
+        key.mac(signed).verify_truncated_left(tag).map_err(|_| Error::Forged)?;
         match postcard::take_from_bytes(body) {
             Ok((frame, [])) => Ok(frame),
             _ => Err(Error::Malformed),
@@ -161,7 +161,7 @@
     }
 }
 
-fn within(bytes: &[u8], limit: usize) -> Result<(), Error> {
+fn check_length(bytes: &[u8], limit: usize) -> Result<(), Error> {
     if bytes.len() > limit {
         return Err(Error::TooLong { bytes: bytes.len(), limit });
     }
--- a/mimosashift/src/wire/replay.rs
+++ b/mimosashift/src/wire/replay.rs
@@ -4,62 +4,63 @@
 
 use crate::resource::Name;
 
-/// Sequence numbers below the highest that may still arrive, once each.
-const WINDOW: u64 = 128;
+/// Sequence numbers, counted back from the highest, that are still accepted.
+const WINDOW_SIZE: u64 = 128;
 
-/// Most senders remembered.
+/// Maximum number of senders tracked.
 const MAX_SENDERS: usize = 4_096;
 
-/// Which sequence numbers of one sender have been seen.
+/// Sliding window over the sequence numbers received from one sender.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Window {
     highest: u64,
-    /// Bit `n` is set when `highest - n` has been seen.
-    seen: u128,
+    /// Bit `n` is set if `highest - n` has been received.
+    received: u128,
 }
 
-/// Windows of all senders.
+/// Replay windows of all senders.
 ///
-/// An incarnation alone does not tell senders apart: many start at once.
+/// Windows are keyed by name as well as incarnation, since routers that start
+/// at the same time may share an incarnation number.
 #[derive(Debug, Default)]
 pub struct Seen {
     windows: HashMap<(u64, Name), Window>,
 }
 
 impl Window {
-    /// Whether this number is new; it counts as seen afterwards.
+    /// Returns whether the sequence number is new, and marks it as received.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if sequence == 0 {
             return false;
         }
         if sequence > self.highest {
             let shift = sequence - self.highest;
-            self.seen = if shift < WINDOW { self.seen << shift } else { 0 };
-            self.seen |= 1;
+            self.received = if shift < WINDOW_SIZE { self.received << shift } else { 0 };
+            self.received |= 1;
             self.highest = sequence;
             return true;
         }
         let age = self.highest - sequence;
-        if age >= WINDOW || self.seen & (1 << age) != 0 {
+        if age >= WINDOW_SIZE || self.received & (1 << age) != 0 {
             return false;
         }
-        self.seen |= 1 << age;
+        self.received |= 1 << age;
         true
     }
 }
 
 impl Seen {
-    /// Whether the frame is new; it counts as seen afterwards.
+    /// Returns whether the frame is new, and marks it as received.
     pub fn accept(&mut self, sender: &Name, incarnation: u64, sequence: u64) -> bool {
         let key = (incarnation, sender.clone());
         if !self.windows.contains_key(&key) && self.windows.len() >= MAX_SENDERS {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         self.windows.entry(key).or_default().accept(sequence)
     }
 
-    /// Incarnations rise with time, so the lowest started first.
-    fn forget_oldest(&mut self) {
+    /// Removes the window with the lowest incarnation, which started first.
+    fn evict_oldest(&mut self) {
         if let Some(oldest) = self.windows.keys().min().cloned() {
             self.windows.remove(&oldest);
         }
