--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -1,4 +1,4 @@
-//! Routers, their network and their table in virtual time.
+//! Simulation of routers, their network and the table service in virtual time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,25 +23,25 @@
 
 use super::Fake;
 
-/// Virtual time of one step.
+/// Virtual time per step.
 pub const STEP: Duration = Duration::from_millis(50);
 
-/// Bytes of the IP and UDP headers of a datagram.
+/// Size of the IP and UDP headers of a datagram.
 const HEADER_BYTES: usize = 28;
 
-/// Bytes of reports of other parts in each heartbeat.
+/// Size of the reports of other modules in each heartbeat.
 const REPORT_BYTES: usize = 64;
 
-/// A router's configuration in either phase.
-pub enum Life {
+/// Router in its starting or serving phase.
+pub enum Phase {
     Starting(Router<Starting>),
     Serving(Router<Serving>),
 }
 
-/// One router.
+/// A simulated router.
 pub struct Node {
     pub membership: Membership,
-    pub life: Life,
+    pub phase: Phase,
     pub up: bool,
     pub paused: bool,
     pub domain: usize,
@@ -52,29 +52,30 @@
     rng: Pcg64Mcg,
 }
 
-/// Faults of the network.
+/// Network fault settings.
 #[derive(Clone, Default)]
 pub struct Net {
     pub drop: f64,
     pub duplicate: f64,
-    /// Most delay of a message, in steps.
+    /// Maximum delay of a message, in steps.
     pub delay: u64,
-    /// Side of a partition that each failure domain is on.
+    /// Network partition that each failure domain belongs to.
     pub side: Vec<usize>,
-    /// Whether the failure domain reaches the table.
+    /// Whether each failure domain is cut off from the table service.
     pub table_cut: Vec<bool>,
 }
 
-/// All routers, driven in one loop.
+/// Simulated cluster, driven by a single loop.
 pub struct Cluster {
     pub now: Instant,
     pub nodes: Vec<Node>,
     pub net: Net,
     pub table: Fake,
-    /// A fault put in on purpose: install whatever the table answers.
+    /// Injects a fault: routers install whatever the table returns, even an
+    /// older revision.
     pub install_any: bool,
-    /// The snapshot of each revision that was ever accepted.
-    pub register: BTreeMap<u64, Snapshot>,
+    /// Snapshot of every revision accepted by the table.
+    pub accepted_snapshots: BTreeMap<u64, Snapshot>,
     highest: Vec<u64>,
     ring: Ring,
     queue: BTreeMap<(Instant, u64), (usize, usize, Vec<u8>)>,
@@ -83,12 +84,12 @@
 }
 
 impl Cluster {
-    /// Routers that greet all others first.
+    /// Creates routers whose seeds are all routers.
     pub fn new(nodes: usize, domains: usize, seed: u64) -> Self {
         Self::with_seeds(nodes, domains, seed, nodes)
     }
 
-    /// Routers that greet the first `seeds` of them first.
+    /// Creates routers whose seeds are the first `seeds` routers.
     pub fn with_seeds(nodes: usize, domains: usize, seed: u64, seeds: usize) -> Self {
         let mut cluster = Self {
             now: Instant::from_millis(1_000_000),
@@ -96,7 +97,7 @@
             net: Net { delay: 1, side: vec![0; domains], ..Net::default() },
             table: Fake::default(),
             install_any: false,
-            register: BTreeMap::from([(0, Snapshot::default())]),
+            accepted_snapshots: BTreeMap::from([(0, Snapshot::default())]),
             highest: vec![0; nodes],
             ring: Ring::new(Key::new(1, *b"0123456789abcdef").unwrap(), None),
             queue: BTreeMap::new(),
@@ -120,10 +121,10 @@
             address: address(index),
             incarnation: mimosashift::member::incarnation(self.now.as_micros(), &mut rng),
         };
-        let list: Vec<_> = (0..seeds).map(address).collect();
+        let seed_addresses: Vec<_> = (0..seeds).map(address).collect();
         Node {
-            membership: Membership::new(own, &list),
-            life: Life::Starting(Router::new(name, self.now)),
+            membership: Membership::new(own, &seed_addresses),
+            phase: Phase::Starting(Router::new(name, self.now)),
             up: true,
             paused: false,
             domain,
@@ -135,21 +136,21 @@
         }
     }
 
-    /// Replaces a router by a new process under the same address.
+    /// Replaces a router by a new process with the same address.
     pub fn restart(&mut self, index: usize) {
         let domain = self.nodes[index].domain;
         self.nodes[index] = self.start(index, domain, self.nodes.len());
         self.highest[index] = 0;
     }
 
-    /// Commits a change through a router; the register follows the table.
+    /// Commits a change through a router and records the accepted revisions.
     pub fn commit(&mut self, index: usize, change: Change) -> Result<u64, Error> {
         let installed = self.nodes[index].replicator().store().state().clone();
         if self.net.table_cut[self.nodes[index].domain] {
             return Err(Error::Platform(mimosashift::platform::Refusal::Unavailable));
         }
         let result = call::run(&self.table, Commit::new(change, installed));
-        self.follow_log();
+        self.record_accepted();
         let committed = result?;
         let now = self.now;
         let peers = self.nodes[index].membership.peers(now);
@@ -159,11 +160,11 @@
         Ok(committed.revision)
     }
 
-    /// Takes what the table has accepted into the register, whatever the
-    /// router was told.
-    fn follow_log(&mut self) {
+    /// Records every revision that the table has accepted, whatever result the
+    /// router received.
+    fn record_accepted(&mut self) {
         loop {
-            let (last, snapshot) = self.register.last_key_value().unwrap();
+            let (last, snapshot) = self.accepted_snapshots.last_key_value().unwrap();
             let revision = last + 1;
             let key = ("config".to_owned(), format!("log/{revision:020}"));
             let Some((_, value)) = self.table.with(|inner| inner.rows.get(&key).cloned()) else {
@@ -175,12 +176,12 @@
             if let Some(spec) = record.after {
                 resources.push(Resource { name: record.name.clone(), revision, spec });
             }
-            self.register.insert(revision, Snapshot::new(revision, resources));
+            self.accepted_snapshots.insert(revision, Snapshot::new(revision, resources));
         }
     }
 
-    /// Runs for a time, checking after each step; fails at the first router
-    /// that went back or holds what was never accepted.
+    /// Runs for `time` and checks the routers after each step. Fails if a router
+    /// returns to an older revision or holds a snapshot that was never accepted.
     pub fn run(&mut self, time: Duration) -> Result<(), String> {
         let end = self.now + time;
         while self.now < end {
@@ -224,9 +225,9 @@
         let report = node.report();
         let sends = node.membership.tick(now, &report, &mut node.rng);
         let peers = node.membership.peers(now);
-        let actions = match &mut node.life {
-            Life::Starting(router) => router.replicator_mut().tick(now, &peers, &mut node.rng),
-            Life::Serving(router) => router.replicator_mut().tick(now, &peers, &mut node.rng),
+        let actions = match &mut node.phase {
+            Phase::Starting(router) => router.replicator_mut().tick(now, &peers, &mut node.rng),
+            Phase::Serving(router) => router.replicator_mut().tick(now, &peers, &mut node.rng),
         };
         node.try_serve(now, &peers);
         for send in sends {
@@ -263,9 +264,9 @@
             && let Err(Error::Stale { .. }) = result
             && let Ok(state) = call::run(&self.table, Load::new(0))
         {
-            // The fault: a fresh store takes the place of the installed one.
+            // Injected fault: an empty store replaces the installed one.
             let name = self.nodes[index].membership.own().node.clone();
-            self.nodes[index].life = Life::Starting(Router::new(name, self.now));
+            self.nodes[index].phase = Phase::Starting(Router::new(name, self.now));
             let progress = Progress::from(state);
             self.nodes[index].replicator_mut().install_progress(&progress, &[]);
             return;
@@ -303,8 +304,8 @@
             }
             let (from, to, bytes) = entry.remove();
             let sides = &self.net.side;
-            let cut = sides[self.nodes[from].domain] != sides[self.nodes[to].domain];
-            if !cut && self.nodes[to].up && !self.nodes[to].paused {
+            let partitioned = sides[self.nodes[from].domain] != sides[self.nodes[to].domain];
+            if !partitioned && self.nodes[to].up && !self.nodes[to].paused {
                 self.receive(from, to, &bytes);
             }
         }
@@ -332,7 +333,7 @@
                 let actions = node.replicator_mut().on_reply(now, &peer, reply);
                 self.act(to, actions);
             }
-            Message::Reports(_) => unreachable!("routers here send no reports of other parts"),
+            Message::Reports(_) => unreachable!("simulated routers send no separate reports"),
         }
     }
 
@@ -340,13 +341,15 @@
         for (index, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.up) {
             let revision = node.version().revision;
             if revision < self.highest[index] {
-                return Err(format!("router {index} went back to revision {revision}"));
+                return Err(format!("router {index} returned to older revision {revision}"));
             }
             let changed = revision != self.highest[index];
             self.highest[index] = revision;
-            let accepted = self.register.get(&revision);
+            let accepted = self.accepted_snapshots.get(&revision);
             if changed && accepted != Some(node.replicator().store().state().snapshot()) {
-                return Err(format!("router {index} holds another revision {revision}"));
+                return Err(format!(
+                    "router {index} holds a snapshot of revision {revision} that was not accepted"
+                ));
             }
         }
         Ok(())
@@ -355,16 +358,16 @@
 
 impl Node {
     pub fn replicator(&self) -> &Replicator {
-        match &self.life {
-            Life::Starting(router) => router.replicator(),
-            Life::Serving(router) => router.replicator(),
+        match &self.phase {
+            Phase::Starting(router) => router.replicator(),
+            Phase::Serving(router) => router.replicator(),
         }
     }
 
     pub fn replicator_mut(&mut self) -> &mut Replicator {
-        match &mut self.life {
-            Life::Starting(router) => router.replicator_mut(),
-            Life::Serving(router) => router.replicator_mut(),
+        match &mut self.phase {
+            Phase::Starting(router) => router.replicator_mut(),
+            Phase::Serving(router) => router.replicator_mut(),
         }
     }
 
@@ -373,14 +376,14 @@
     }
 
     pub fn serves(&self) -> bool {
-        matches!(self.life, Life::Serving(_))
+        matches!(self.phase, Phase::Serving(_))
     }
 
-    /// Why it does not serve.
+    /// Reason why the router does not serve yet.
     pub fn reason(&self, now: Instant) -> Option<NotServingReason> {
-        match &self.life {
-            Life::Starting(router) => router.reason(now, &self.membership.peers(now)),
-            Life::Serving(_) => None,
+        match &self.phase {
+            Phase::Starting(router) => router.reason(now, &self.membership.peers(now)),
+            Phase::Serving(_) => None,
         }
     }
 
@@ -391,13 +394,13 @@
 
     fn try_serve(&mut self, now: Instant, peers: &[Peer]) {
         let name = self.membership.own().node.clone();
-        let hollow = Life::Starting(Router::new(name, now));
-        self.life = match std::mem::replace(&mut self.life, hollow) {
-            Life::Starting(router) => match router.serve(now, peers) {
-                Ok(serving) => Life::Serving(serving),
-                Err(starting) => Life::Starting(starting),
+        let placeholder = Phase::Starting(Router::new(name, now));
+        self.phase = match std::mem::replace(&mut self.phase, placeholder) {
+            Phase::Starting(router) => match router.serve(now, peers) {
+                Ok(serving) => Phase::Serving(serving),
+                Err(starting) => Phase::Starting(starting),
             },
-            serving @ Life::Serving(_) => serving,
+            serving @ Phase::Serving(_) => serving,
         };
     }
 }
--- a/mimosashift/tests/fake/mod.rs
+++ b/mimosashift/tests/fake/mod.rs
@@ -1,6 +1,6 @@
-//! A table service in memory that can be made to fail.
+//! In-memory table service with fault injection.
 
-#![allow(dead_code)] // Each test binary uses a part of it.
+#![allow(dead_code)] // No test binary uses all of it.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -11,7 +11,7 @@
 
 pub mod cluster;
 
-/// What the next commits of the fake suffer.
+/// Fault injected into a commit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Fault {
     #[default]
@@ -23,20 +23,20 @@
 
 pub type Rows = BTreeMap<(String, String), (u64, String)>;
 
-/// A table service in memory.
+/// In-memory table service.
 #[derive(Default)]
 pub struct Fake(Mutex<Inner>);
 
 #[derive(Clone, Default)]
 pub struct Inner {
-    /// The rows by table and key.
+    /// Rows by table and key.
     pub rows: Rows,
     revision: u64,
-    /// Faults of the next commits, then of every commit.
+    /// Faults of the next commits, in order; later commits succeed.
     pub commits: Vec<Fault>,
-    /// Whether every call is refused.
+    /// Whether every call is refused as unavailable.
     pub down: bool,
-    /// Rows that reads are answered from instead of the live ones.
+    /// If set, reads return these rows instead of the current ones.
     pub stale: Option<Rows>,
 }
 
@@ -144,7 +144,7 @@
     Name::try_from(text).unwrap()
 }
 
-/// A change that sets priority `target` to `level`.
+/// Returns a change that sets priority `target` to `level`.
 pub fn change(id: u128, target: &str, level: u8) -> Change {
     Change {
         id: ChangeId(id),
--- a/mimosashift/tests/member.rs
+++ b/mimosashift/tests/member.rs
@@ -1,4 +1,4 @@
-//! Membership: liveness, incarnations and the cost of heartbeats.
+//! Membership: liveness, incarnations, discovery and the cost of heartbeats.
 
 mod fake;
 
@@ -17,10 +17,11 @@
 use rand_pcg::Pcg64Mcg;
 use test_case::test_case;
 
-/// Most bytes a second that a router may send and receive for control.
+/// Maximum bytes per second of control traffic that a router may send and
+/// receive.
 const BUDGET: usize = 16_000;
 
-/// Time in which a cluster finds itself.
+/// Time within which all routers discover each other.
 const SETTLE: Duration = Duration::from_secs(30);
 
 #[test_case(4, 3; "4 routers in 3 domains")]
@@ -34,15 +35,22 @@
     cluster.run(MEASURED).unwrap();
     let seconds = usize::try_from(MEASURED.as_secs()).unwrap();
     let rates: Vec<_> = cluster.nodes.iter().map(|node| node.bytes / seconds).collect();
-    let most = rates.iter().max().unwrap();
+    let max = rates.iter().max().unwrap();
     let mean = rates.iter().sum::<usize>() / rates.len();
-    eprintln!("{routers} routers: sent and received {mean} B/s in the mean, at most {most} B/s");
-    assert!(*most <= BUDGET, "{most} B/s");
+    eprintln!(
+        "{routers} routers: {mean} B/s sent and received per router on average, {max} B/s at most"
+    );
+    assert!(*max <= BUDGET, "{max} B/s");
     for node in &cluster.nodes {
-        let near =
+        let local =
             node.membership.peers(cluster.now).iter().filter(|peer| peer.same_domain).count();
         let same = cluster.nodes.iter().filter(|other| other.domain == node.domain).count();
-        assert_eq!(near + 1, same, "{:?} does not know its domain", node.membership.own());
+        assert_eq!(
+            local + 1,
+            same,
+            "{:?} does not know all routers of its domain",
+            node.membership.own()
+        );
     }
 }
 
@@ -60,7 +68,7 @@
     Membership::new(identity("own", 1, 1), &[address(2)])
 }
 
-/// The next heartbeat of a router, as its peer at port 1 gets it.
+/// Returns the next heartbeat of a router, as sent to its peer at port 1.
 fn heartbeat(membership: &mut Membership, now: Instant) -> Heartbeat {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let sends = membership.tick(now, &Report::default(), &mut rng);
@@ -80,7 +88,7 @@
 }
 
 #[test]
-fn silence_makes_suspect_then_dead() {
+fn silent_router_becomes_suspect_then_dead() {
     let mut own = membership();
     assert_eq!(own.on_heartbeat(at(0), heartbeat(&mut other(5), at(0))), Event::Joined);
     assert_eq!(liveness(&own, at(0) + SUSPECT_AFTER - Duration::from_micros(1)), Liveness::Alive);
@@ -90,7 +98,7 @@
 }
 
 #[test]
-fn restarted_router_replaces_its_old_self() {
+fn restarted_router_replaces_its_previous_incarnation() {
     let mut own = membership();
     let (mut old, mut new) = (other(5), other(6));
     own.on_heartbeat(at(0), heartbeat(&mut old, at(0)));
@@ -119,7 +127,7 @@
 }
 
 #[test]
-fn paused_router_announces_itself_anew_and_trusts_nobody() {
+fn paused_router_takes_new_incarnation_and_presumes_peers_dead() {
     let mut own = membership();
     let mut peer = other(5);
     own.on_heartbeat(at(0), heartbeat(&mut peer, at(0)));
@@ -127,13 +135,16 @@
     let before = own.own().incarnation;
     let announced = heartbeat(&mut own, at(4_000));
     assert!(announced.incarnation > before);
-    assert!(own.peers(at(4_000)).is_empty(), "trusts a router not heard since the pause");
+    assert!(
+        own.peers(at(4_000)).is_empty(),
+        "a router counts as alive without a heartbeat since the pause"
+    );
     own.on_heartbeat(at(4_001), heartbeat(&mut peer, at(4_001)));
     assert_eq!(own.peers(at(4_001)).len(), 1);
 }
 
 #[test]
-fn leaving_router_is_known_as_such_at_once() {
+fn leaving_router_is_recognized_immediately() {
     let mut own = membership();
     let mut peer = other(5);
     own.on_heartbeat(at(0), heartbeat(&mut peer, at(0)));
@@ -144,23 +155,24 @@
 }
 
 #[test]
-fn healed_partition_joins_again() {
+fn domains_rejoin_after_partition_heals() {
     let mut cluster = Cluster::new(12, 3, 1);
     cluster.run(SETTLE).unwrap();
     cluster.net.side = vec![0, 1, 1];
     cluster.run(Duration::from_secs(15)).unwrap();
-    let far = |c: &Cluster| c.nodes[0].membership.in_force(c.now, &Report::default(), 0).len();
+    let known_domains =
+        |c: &Cluster| c.nodes[0].membership.in_force(c.now, &Report::default(), 0).len();
     cluster.run(Duration::from_secs(10)).unwrap();
-    assert_eq!(far(&cluster), 1, "summaries of domains that are cut off stay for ever");
+    assert_eq!(known_domains(&cluster), 1, "summaries of partitioned domains have not expired");
     cluster.net.side = vec![0; 3];
     cluster.run(Duration::from_secs(5)).unwrap();
-    assert_eq!(far(&cluster), 3);
+    assert_eq!(known_domains(&cluster), 3);
 }
 
-/// Four routers in two domains that all greet the first: the third hears of
-/// the other domain only from the first.
+/// Four routers in two domains, with the first as the only seed: the third can
+/// learn of the other domain only from the first.
 #[test]
-fn every_router_finds_every_domain_from_one_seed() {
+fn every_router_discovers_every_domain_from_one_seed() {
     let mut cluster = Cluster::with_seeds(4, 2, 1, 1);
     cluster.run(SETTLE).unwrap();
     for node in &cluster.nodes {
@@ -197,7 +209,7 @@
 }
 
 #[test]
-fn incarnation_rises_with_time() {
+fn incarnation_increases_with_time() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let numbers: Vec<_> =
         (0..100).map(|t| incarnation(1_800_000_000_000_000 + t, &mut rng)).collect();
--- a/mimosashift/tests/transport.rs
+++ b/mimosashift/tests/transport.rs
@@ -12,8 +12,8 @@
 use mimosashift::wire::message::Bundle;
 use mimosashift::wire::{Frame, Key, MAX_DATAGRAM_BYTES, Message, Ring};
 
-/// Longest wait for something that must happen.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Time limit for an expected event.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn ring(secret: u8) -> Ring {
     Ring::new(Key::new(1, vec![secret; 32]).unwrap(), None)
@@ -23,14 +23,14 @@
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// A router that answers each request with one record and passes on what it
-/// got.
+/// Starts a router that answers each request with one record and forwards the
+/// received frames to the returned channel.
 fn router(name: &str) -> (Transport, SocketAddr, mpsc::Receiver<Frame>) {
     let (sender, receiver) = mpsc::channel();
     let handler = move |frame: Frame| {
-        let asked = matches!(frame.message, Message::Request(_));
+        let is_request = matches!(frame.message, Message::Request(_));
         sender.send(frame).ok()?;
-        asked.then(|| records(100_000))
+        is_request.then(|| records(100_000))
     };
     loop {
         let address = free_address();
@@ -55,28 +55,28 @@
     let (a, _, _inbox) = router("a");
     let (_b, address, inbox) = router("b");
     a.send(address, request()).unwrap();
-    let frame = inbox.recv_timeout(LIMIT).unwrap();
+    let frame = inbox.recv_timeout(TIMEOUT).unwrap();
     assert_eq!((frame.sender.as_str(), frame.message), ("a", request()));
 }
 
 #[test]
-fn request_gets_a_long_answer() {
+fn request_receives_large_response() {
     let (a, _, _inbox) = router("a");
     let (_b, address, _inbox_b) = router("b");
-    let answer = a.request(address, request()).unwrap().unwrap();
-    assert_eq!((answer.sender.as_str(), answer.message), ("b", records(100_000)));
+    let response = a.request(address, request()).unwrap().unwrap();
+    assert_eq!((response.sender.as_str(), response.message), ("b", records(100_000)));
 }
 
 #[test]
-fn pushed_records_have_no_answer() {
+fn pushed_records_have_no_response() {
     let (a, _, _inbox) = router("a");
     let (_b, address, inbox) = router("b");
     assert_eq!(a.request(address, records(5_000)).unwrap(), None);
-    assert_eq!(inbox.recv_timeout(LIMIT).unwrap().message, records(5_000));
+    assert_eq!(inbox.recv_timeout(TIMEOUT).unwrap().message, records(5_000));
 }
 
 #[test]
-fn forged_replayed_and_long_frames_are_refused() {
+fn forged_replayed_and_oversized_frames_are_refused() {
     let (b, address, inbox) = router("b");
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let sender = Name::try_from("a").unwrap();
@@ -88,20 +88,20 @@
     for bytes in [&forged, &valid, &valid, &last] {
         socket.send_to(bytes, address).unwrap();
     }
-    let got: Vec<_> = (0..2).map(|_| inbox.recv_timeout(LIMIT).unwrap().sequence).collect();
-    assert_eq!(got, [2, 3]);
+    let received: Vec<_> = (0..2).map(|_| inbox.recv_timeout(TIMEOUT).unwrap().sequence).collect();
+    assert_eq!(received, [2, 3]);
     assert_eq!(b.refused(), 2);
     let mut stream = TcpStream::connect(address).unwrap();
     stream.write_all(&u32::MAX.to_be_bytes()).unwrap();
-    stream.set_read_timeout(Some(LIMIT)).unwrap();
-    // Closed at once, without waiting for four gigabytes.
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+    // The connection must be closed without waiting for the announced 4 GiB.
     assert!(matches!(stream.read(&mut [0; 1]), Ok(0) | Err(_)));
     assert!(inbox.try_recv().is_err());
 }
 
 #[test]
-fn request_to_a_silent_peer_ends() {
+fn request_to_unresponsive_peer_fails() {
     let (a, _, _inbox) = router("a");
-    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    assert!(a.request(silent.local_addr().unwrap(), request()).is_err());
+    let unresponsive = TcpListener::bind("127.0.0.1:0").unwrap();
+    assert!(a.request(unresponsive.local_addr().unwrap(), request()).is_err());
 }
--- a/mimosashift/tests/wire.rs
+++ b/mimosashift/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames: bounds, authentication, key rotation and replay.
+//! Frames: size limits, authentication, key rotation and replay protection.
 
 use std::collections::HashSet;
 
@@ -57,7 +57,7 @@
 #[test_case(heartbeat(); "heartbeat")]
 #[test_case(request(); "request")]
 #[test_case(reply(); "reply")]
-fn frame_survives_the_wire(message: Message) {
+fn frame_round_trips(message: Message) {
     let frame = frame(message);
     let bytes = ring(1, None).seal(&frame, MAX_DATAGRAM_BYTES).unwrap();
     assert_eq!(ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES), Ok(frame));
@@ -80,19 +80,19 @@
 }
 
 #[test]
-fn long_frames_are_refused_on_both_sides() {
-    let long = frame(Message::Reply(Bundle::Records(vec!["x".repeat(2_000)])));
-    let too_long = |result: Result<(), Error>| matches!(result, Err(Error::TooLong { .. }));
-    assert!(too_long(ring(1, None).seal(&long, MAX_DATAGRAM_BYTES).map(drop)));
-    let bytes = ring(1, None).seal(&long, MAX_STREAM_BYTES).unwrap();
-    assert!(too_long(ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES).map(drop)));
+fn oversized_frames_are_refused_on_both_sides() {
+    let oversized = frame(Message::Reply(Bundle::Records(vec!["x".repeat(2_000)])));
+    let is_too_long = |result: Result<(), Error>| matches!(result, Err(Error::TooLong { .. }));
+    assert!(is_too_long(ring(1, None).seal(&oversized, MAX_DATAGRAM_BYTES).map(drop)));
+    let bytes = ring(1, None).seal(&oversized, MAX_STREAM_BYTES).unwrap();
+    assert!(is_too_long(ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES).map(drop)));
 }
 
 #[test]
-fn short_secret_is_refused_and_never_shown() {
+fn short_secret_is_refused_and_secrets_are_not_printed() {
     assert!(Key::new(1, *b"short").is_err());
-    let shown = format!("{:?}", Key::new(1, *b"0123456789abcdef").unwrap());
-    assert!(!shown.contains("48") && !shown.contains("0123"), "{shown}");
+    let printed = format!("{:?}", Key::new(1, *b"0123456789abcdef").unwrap());
+    assert!(!printed.contains("48") && !printed.contains("0123"), "{printed}");
 }
 
 #[test]
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn senders_with_one_incarnation_are_told_apart() {
+fn senders_with_same_incarnation_are_distinguished() {
     let mut seen = Seen::default();
     assert!(seen.accept(&name("a"), 1, 1));
     assert!(seen.accept(&name("b"), 1, 1));
@@ -117,18 +117,18 @@
     })]
 
     #[test]
-    fn garbage_is_refused(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
+    fn random_bytes_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
         prop_assert!(ring(1, Some(2)).open(&bytes, MAX_DATAGRAM_BYTES).is_err());
     }
 
-    /// Signed garbage reaches the decoder, which must neither panic nor
-    /// accept trailing bytes.
+    /// Correctly signed random bytes reach the decoder, which must neither panic
+    /// nor accept trailing bytes.
     #[test]
-    fn signed_garbage_does_no_harm(body in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn signed_random_bytes_are_handled(body in prop::collection::vec(any::<u8>(), 0..200)) {
         let bytes = sign(&body);
         if let Ok(frame) = ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES) {
-            let again = ring(1, None).seal(&frame, MAX_DATAGRAM_BYTES).unwrap();
-            prop_assert!(again.len() <= bytes.len());
+            let reencoded = ring(1, None).seal(&frame, MAX_DATAGRAM_BYTES).unwrap();
+            prop_assert!(reencoded.len() <= bytes.len());
         }
     }
 
@@ -147,7 +147,8 @@
         prop_assert!(ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES).is_err());
     }
 
-    /// The window against a set: never twice, and always once when not old.
+    /// Compares the window with a set: a number within the window is accepted
+    /// exactly once.
     #[test]
     fn window_accepts_each_number_once(numbers in prop::collection::vec(0_u64..400, 0..500)) {
         let mut window = Window::default();
@@ -163,7 +164,7 @@
     }
 }
 
-/// Signs any body as a frame of key 1.
+/// Signs arbitrary bytes as the body of a frame, with key 1.
 fn sign(body: &[u8]) -> Vec<u8> {
     use hmac::{Hmac, KeyInit, Mac};
     let mut bytes = vec![1, 1];
