--- a/mimosabench/src/slopes/config.rs
+++ b/mimosabench/src/slopes/config.rs
@@ -16,7 +16,7 @@
 use mimosashift::resource::{Kind, Resource};
 use mimosashift::time::Instant;
 use mimosashift::wire::message::Bundle;
-use mimosashift::wire::{Frame, Key, MAX_STREAM_BYTES, Message, Ring};
+use mimosashift::wire::{Frame, Key, KeyRing, MAX_STREAM_BYTES, Message};
 use mimosastandin::platform::{Instance, Rates};
 use mimosastandin::world::ANY;
 use rand::SeedableRng;
@@ -144,7 +144,7 @@
         sequence: 1,
         message: Message::Reply(Bundle::from(reply)),
     };
-    let sealed = Ring::new(key, None).seal(&frame, MAX_STREAM_BYTES);
+    let sealed = KeyRing::new(key, None).seal(&frame, MAX_STREAM_BYTES);
     Ok(sealed.map_err(|error| Error::Call(error.to_string()))?.len())
 }
 
--- a/mimosabench/src/slopes/membership.rs
+++ b/mimosabench/src/slopes/membership.rs
@@ -9,7 +9,7 @@
 use mimosashift::resource::Name;
 use mimosashift::time::Instant;
 use mimosashift::wire::message::Payload;
-use mimosashift::wire::{Frame, Key, MAX_DATAGRAM_BYTES, Message, Ring, Seen};
+use mimosashift::wire::{Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, Message, Seen};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -150,9 +150,9 @@
     HEADER_BYTES + sealed.expect("a small message fits a datagram").len()
 }
 
-fn ring() -> Ring {
+fn ring() -> KeyRing {
     let key = Key::new(1, *b"0123456789abcdef").expect("the secret is long enough");
-    Ring::new(key, None)
+    KeyRing::new(key, None)
 }
 
 const fn domains_of(routers: usize) -> usize {
@@ -172,7 +172,7 @@
 struct Cluster {
     now: Instant,
     nodes: Vec<Node>,
-    ring: Ring,
+    ring: KeyRing,
     report: Report,
     in_flight: VecDeque<(usize, Vec<u8>)>,
 }
--- a/mimosashift/src/member/transport.rs
+++ b/mimosashift/src/member/transport.rs
@@ -14,7 +14,7 @@
 use quick_error::quick_error;
 
 use crate::resource::Name;
-use crate::wire::{self, Frame, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, Ring, Seen};
+use crate::wire::{self, Frame, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, Seen};
 
 /// Time limit for a complete exchange on a connection.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -64,7 +64,7 @@
 
 struct Shared {
     socket: UdpSocket,
-    ring: Ring,
+    ring: KeyRing,
     sender: Name,
     incarnation: AtomicU64,
     sequence: AtomicU64,
@@ -82,7 +82,7 @@
     /// be 0.
     pub fn bind(
         address: SocketAddr,
-        ring: Ring,
+        ring: KeyRing,
         sender: Name,
         incarnation: u64,
         handler: Box<Handler>,
--- a/mimosashift/src/node/cluster/mod.rs
+++ b/mimosashift/src/node/cluster/mod.rs
@@ -28,7 +28,7 @@
 use crate::resource::Name;
 use crate::time::Instant;
 use crate::wire::message::Bundle;
-use crate::wire::{Frame, Key, Message, Ring};
+use crate::wire::{Frame, Key, KeyRing, Message};
 
 mod life;
 mod report;
@@ -430,11 +430,11 @@
 }
 
 /// The first key signs; the second is accepted as well.
-fn ring(keys: &[crate::settings::Key]) -> Option<Ring> {
+fn ring(keys: &[crate::settings::Key]) -> Option<KeyRing> {
     let mut keys = keys.iter().map(|key| {
         Key::new(key.id, key.secret).expect("a checked key is longer than the least secret")
     });
-    Some(Ring::new(keys.next()?, keys.next()))
+    Some(KeyRing::new(keys.next()?, keys.next()))
 }
 
 fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), Error> {
--- a/mimosashift/src/wire/mod.rs
+++ b/mimosashift/src/wire/mod.rs
@@ -93,7 +93,7 @@
 /// Keys in use. Frames are signed with the current key; the previous one is
 /// still accepted while a new key is rolled out.
 #[derive(Clone, Debug)]
-pub struct Ring {
+pub struct KeyRing {
     current: Key,
     previous: Option<Key>,
 }
@@ -114,7 +114,7 @@
     }
 }
 
-impl Ring {
+impl KeyRing {
     /// Creates a key ring that signs with `current` and accepts both keys.
     pub const fn new(current: Key, previous: Option<Key>) -> Self {
         Self { current, previous }
--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -17,7 +17,7 @@
 use mimosashift::resource::{Name, Resource, Snapshot};
 use mimosashift::time::Instant;
 use mimosashift::wire::message::{Bundle, Payload};
-use mimosashift::wire::{Frame, Key, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, Ring, Seen};
+use mimosashift::wire::{Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, Seen};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -77,7 +77,7 @@
     /// Snapshot of every revision accepted by the table.
     pub accepted_snapshots: BTreeMap<u64, Snapshot>,
     highest: Vec<u64>,
-    ring: Ring,
+    ring: KeyRing,
     queue: BTreeMap<(Instant, u64), (usize, usize, Vec<u8>)>,
     queued: u64,
     rng: Pcg64Mcg,
@@ -99,7 +99,7 @@
             install_any: false,
             accepted_snapshots: BTreeMap::from([(0, Snapshot::default())]),
             highest: vec![0; nodes],
-            ring: Ring::new(Key::new(1, *b"0123456789abcdef").unwrap(), None),
+            ring: KeyRing::new(Key::new(1, *b"0123456789abcdef").unwrap(), None),
             queue: BTreeMap::new(),
             queued: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
--- a/mimosashift/tests/member.rs
+++ b/mimosashift/tests/member.rs
@@ -12,7 +12,7 @@
 use mimosashift::resource::Name;
 use mimosashift::time::Instant;
 use mimosashift::wire::message::{Heartbeat, Payload};
-use mimosashift::wire::{Frame, Key, MAX_DATAGRAM_BYTES, Message, Ring};
+use mimosashift::wire::{Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, Message};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use test_case::test_case;
@@ -197,7 +197,7 @@
     }
     let payloads = (0..600).map(|_| Payload { tag: 1, bytes: vec![0; 1] }).collect();
     let report = Report { payloads, polled: Some(Instant::ZERO), ..Report::default() };
-    let ring = Ring::new(Key::new(1, [0; 32]).unwrap(), None);
+    let ring = KeyRing::new(Key::new(1, [0; 32]).unwrap(), None);
     let sends = own.tick(at(1), &report, &mut rng);
     assert!(!sends.is_empty());
     for send in sends {
--- a/mimosashift/tests/transport.rs
+++ b/mimosashift/tests/transport.rs
@@ -10,13 +10,13 @@
 use mimosashift::member::transport::Transport;
 use mimosashift::resource::Name;
 use mimosashift::wire::message::Bundle;
-use mimosashift::wire::{Frame, Key, MAX_DATAGRAM_BYTES, Message, Ring};
+use mimosashift::wire::{Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, Message};
 
 /// Time limit for an expected event.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn ring(secret: u8) -> Ring {
-    Ring::new(Key::new(1, vec![secret; 32]).unwrap(), None)
+fn ring(secret: u8) -> KeyRing {
+    KeyRing::new(Key::new(1, vec![secret; 32]).unwrap(), None)
 }
 
 fn free_address() -> SocketAddr {
--- a/mimosashift/tests/wire.rs
+++ b/mimosashift/tests/wire.rs
@@ -7,7 +7,7 @@
 use mimosashift::resource::{Kind, Name};
 use mimosashift::wire::message::{Bundle, Heartbeat, Payload, Summary};
 use mimosashift::wire::{
-    Error, Frame, Key, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, Ring, Seen, Window,
+    Error, Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, Seen, Window,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -17,8 +17,8 @@
     Key::new(id, vec![id; 32]).unwrap()
 }
 
-fn ring(current: u8, previous: Option<u8>) -> Ring {
-    Ring::new(key(current), previous.map(key))
+fn ring(current: u8, previous: Option<u8>) -> KeyRing {
+    KeyRing::new(key(current), previous.map(key))
 }
 
 fn name(text: &str) -> Name {
@@ -75,7 +75,7 @@
 #[test]
 fn other_secret_under_the_same_id_is_refused() {
     let bytes = ring(1, None).seal(&frame(request()), MAX_DATAGRAM_BYTES).unwrap();
-    let other = Ring::new(Key::new(1, vec![9; 32]).unwrap(), None);
+    let other = KeyRing::new(Key::new(1, vec![9; 32]).unwrap(), None);
     assert_eq!(other.open(&bytes, MAX_DATAGRAM_BYTES), Err(Error::Forged));
 }
 
