--- a/mimosabench/src/slopes/membership.rs
+++ b/mimosabench/src/slopes/membership.rs
@@ -9,7 +9,7 @@
 use mimosashift::resource::Name;
 use mimosashift::time::Instant;
 use mimosashift::wire::message::Payload;
-use mimosashift::wire::{Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, Message, Seen};
+use mimosashift::wire::{Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, Message, ReplayFilter};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -161,7 +161,7 @@
 
 struct Node {
     membership: Membership,
-    seen: Seen,
+    seen: ReplayFilter,
     sequence: u64,
     bytes: usize,
     messages: usize,
@@ -192,7 +192,7 @@
             };
             Node {
                 membership: Membership::new(own, &addresses),
-                seen: Seen::default(),
+                seen: ReplayFilter::default(),
                 sequence: 0,
                 bytes: 0,
                 messages: 0,
--- a/mimosashift/src/member/transport.rs
+++ b/mimosashift/src/member/transport.rs
@@ -14,7 +14,9 @@
 use quick_error::quick_error;
 
 use crate::resource::Name;
-use crate::wire::{self, Frame, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, Seen};
+use crate::wire::{
+    self, Frame, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, ReplayFilter,
+};
 
 /// Time limit for a complete exchange on a connection.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -69,7 +71,7 @@
     incarnation: AtomicU64,
     sequence: AtomicU64,
     /// The only lock of the transport; no handler runs while it is held.
-    replay_filter: Mutex<Seen>,
+    replay_filter: Mutex<ReplayFilter>,
     refused: AtomicU64,
     sent_bytes: AtomicU64,
     connections: AtomicUsize,
--- a/mimosashift/src/wire/mod.rs
+++ b/mimosashift/src/wire/mod.rs
@@ -14,7 +14,7 @@
 pub mod replay;
 
 pub use message::Message;
-pub use replay::{Seen, Window};
+pub use replay::{ReplayFilter, Window};
 
 /// Version of the wire format.
 const VERSION: u8 = 1;
--- a/mimosashift/src/wire/replay.rs
+++ b/mimosashift/src/wire/replay.rs
@@ -23,7 +23,7 @@
 /// Windows are keyed by name as well as incarnation, since routers that start
 /// at the same time may share an incarnation number.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct ReplayFilter {
     windows: HashMap<(u64, Name), Window>,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-impl Seen {
+impl ReplayFilter {
     /// Returns whether the frame is new, and marks it as received.
     pub fn accept(&mut self, sender: &Name, incarnation: u64, sequence: u64) -> bool {
         let key = (incarnation, sender.clone());
--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -17,7 +17,9 @@
 use mimosashift::resource::{Name, Resource, Snapshot};
 use mimosashift::time::Instant;
 use mimosashift::wire::message::{Bundle, Payload};
-use mimosashift::wire::{Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, Seen};
+use mimosashift::wire::{
+    Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, ReplayFilter,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -47,7 +49,7 @@
     pub domain: usize,
     pub alarms: Vec<Error>,
     pub bytes: usize,
-    seen: Seen,
+    seen: ReplayFilter,
     sequence: u64,
     rng: Pcg64Mcg,
 }
@@ -130,7 +132,7 @@
             domain,
             alarms: Vec::new(),
             bytes: 0,
-            seen: Seen::default(),
+            seen: ReplayFilter::default(),
             sequence: 0,
             rng,
         }
--- a/mimosashift/tests/wire.rs
+++ b/mimosashift/tests/wire.rs
@@ -7,7 +7,7 @@
 use mimosashift::resource::{Kind, Name};
 use mimosashift::wire::message::{Bundle, Heartbeat, Payload, Summary};
 use mimosashift::wire::{
-    Error, Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, Seen, Window,
+    Error, Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, ReplayFilter, Window,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -103,7 +103,7 @@
 
 #[test]
 fn senders_with_same_incarnation_are_distinguished() {
-    let mut seen = Seen::default();
+    let mut seen = ReplayFilter::default();
     assert!(seen.accept(&name("a"), 1, 1));
     assert!(seen.accept(&name("b"), 1, 1));
     assert!(!seen.accept(&name("a"), 1, 1));
