--- a/mimosashift/src/wire/mod.rs
+++ b/mimosashift/src/wire/mod.rs
@@ -14,7 +14,7 @@
 pub mod replay;
 
 pub use message::Message;
-pub use replay::{ReplayFilter, Window};
+pub use replay::{ReplayFilter, ReplayWindow};
 
 /// Version of the wire format.
 const VERSION: u8 = 1;
@@ -132,7 +132,7 @@
 
     /// Authenticates and decodes a frame of at most `limit` bytes.
     ///
-    /// The caller must check the sequence number against a [`Window`].
+    /// The caller must check the sequence number against a [`ReplayWindow`].
     pub fn open(&self, bytes: &[u8], limit: usize) -> Result<Frame, Error> {
         check_length(bytes, limit)?;
         let end = bytes.len().checked_sub(TAG_BYTES).ok_or(Error::Truncated)?;
--- a/mimosashift/src/wire/replay.rs
+++ b/mimosashift/src/wire/replay.rs
@@ -12,7 +12,7 @@
 
 /// Sliding window over the sequence numbers received from one sender.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Window {
+pub struct ReplayWindow {
     highest: u64,
     /// Bit `n` is set if `highest - n` has been received.
     received: u128,
@@ -24,10 +24,10 @@
 /// at the same time may share an incarnation number.
 #[derive(Debug, Default)]
 pub struct ReplayFilter {
-    windows: HashMap<(u64, Name), Window>,
+    windows: HashMap<(u64, Name), ReplayWindow>,
 }
 
-impl Window {
+impl ReplayWindow {
     /// Returns whether the sequence number is new, and marks it as received.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if sequence == 0 {
--- a/mimosashift/tests/wire.rs
+++ b/mimosashift/tests/wire.rs
@@ -7,7 +7,8 @@
 use mimosashift::resource::{Kind, Name};
 use mimosashift::wire::message::{Bundle, Heartbeat, Payload, Summary};
 use mimosashift::wire::{
-    Error, Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, ReplayFilter, Window,
+    Error, Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, ReplayFilter,
+    ReplayWindow,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -151,7 +152,7 @@
     /// exactly once.
     #[test]
     fn window_accepts_each_number_once(numbers in prop::collection::vec(0_u64..400, 0..500)) {
-        let mut window = Window::default();
+        let mut window = ReplayWindow::default();
         let mut seen = HashSet::new();
         let mut highest = 0;
         for number in numbers {
