--- a/mimosashift/src/member/domain.rs
+++ b/mimosashift/src/member/domain.rs
@@ -12,7 +12,7 @@
 
 use crate::resource::Name;
 use crate::time::Instant;
-use crate::wire::message::Summary;
+use crate::wire::message::DomainSummary;
 
 /// Age at which a summary is discarded.
 const MAX_SUMMARY_AGE: Duration = Duration::from_secs(20);
@@ -38,14 +38,14 @@
 /// Latest summary of each other failure domain.
 #[derive(Debug, Default)]
 pub(super) struct DomainSummaries {
-    summaries: BTreeMap<Name, (Summary, Instant)>,
+    summaries: BTreeMap<Name, (DomainSummary, Instant)>,
 }
 
 impl DomainSummaries {
     /// Merges summaries from a heartbeat; the newest one of each domain wins.
-    pub(super) fn merge(&mut self, now: Instant, own: &Name, summaries: Vec<Summary>) {
+    pub(super) fn merge(&mut self, now: Instant, own: &Name, summaries: Vec<DomainSummary>) {
         for summary in summaries {
-            let created = now - Duration::from_millis(u64::from(summary.ms_ago));
+            let created = now - Duration::from_millis(u64::from(summary.age_ms));
             let known = self.summaries.get(&summary.domain);
             let full = known.is_none() && self.summaries.len() >= MAX_DOMAINS;
             let newer = known.is_none_or(|(_, known)| created > *known);
@@ -62,7 +62,7 @@
 
     /// Installation counts of `revision` in each other domain.
     pub(super) fn in_force(&self, revision: u64) -> BTreeMap<Name, InForce> {
-        let count = |(domain, (summary, _)): (&Name, &(Summary, Instant))| {
+        let count = |(domain, (summary, _)): (&Name, &(DomainSummary, Instant))| {
             (domain.clone(), summary.in_force(revision))
         };
         self.summaries.iter().map(count).collect()
@@ -70,7 +70,12 @@
 
     /// Returns the summary of the own domain and a random selection of the
     /// others, limited to [`MAX_SUMMARIES_BYTES`].
-    pub(super) fn sample(&self, now: Instant, own: Summary, rng: &mut Pcg64Mcg) -> Vec<Summary> {
+    pub(super) fn sample(
+        &self,
+        now: Instant,
+        own: DomainSummary,
+        rng: &mut Pcg64Mcg,
+    ) -> Vec<DomainSummary> {
         let known: Vec<_> = self.summaries.values().collect();
         let mut bytes = SUMMARY_OVERHEAD_BYTES + own.domain.as_str().len();
         let mut sample = vec![own];
@@ -79,14 +84,14 @@
             if bytes > MAX_SUMMARIES_BYTES {
                 break;
             }
-            let ms_ago = u32::try_from(now.since(*created).as_millis()).unwrap_or(u32::MAX);
-            sample.push(Summary { ms_ago, ..summary.clone() });
+            let age_ms = u32::try_from(now.since(*created).as_millis()).unwrap_or(u32::MAX);
+            sample.push(DomainSummary { age_ms, ..summary.clone() });
         }
         sample
     }
 }
 
-impl Summary {
+impl DomainSummary {
     /// Summarizes the revisions that the live routers of a domain have
     /// installed.
     pub fn new(domain: Name, revisions: &[u64]) -> Self {
@@ -98,7 +103,7 @@
             lowest: revisions.iter().copied().min().unwrap_or_default(),
             highest,
             at_highest: count(revisions.iter().filter(|r| **r == highest).count()),
-            ms_ago: 0,
+            age_ms: 0,
         }
     }
 
--- a/mimosashift/src/member/mod.rs
+++ b/mimosashift/src/member/mod.rs
@@ -18,7 +18,7 @@
 use crate::config::replication::Peer;
 use crate::resource::Name;
 use crate::time::Instant;
-use crate::wire::message::{Heartbeat, MAX_PAYLOAD_BYTES, Payload, Summary};
+use crate::wire::message::{DomainSummary, Heartbeat, MAX_PAYLOAD_BYTES, Payload};
 
 mod domain;
 mod peer;
@@ -309,7 +309,7 @@
     }
 
     fn heartbeat(&self, now: Instant, report: &Report) -> Heartbeat {
-        let ms_ago =
+        let age_ms =
             |polled: Instant| u32::try_from(now.since(polled).as_millis()).unwrap_or(u32::MAX);
         Heartbeat {
             node: self.own.node.clone(),
@@ -318,7 +318,7 @@
             incarnation: self.own.incarnation,
             sequence: self.sequence,
             version: report.version,
-            polled_ms_ago: report.polled.map(ms_ago),
+            polled_ms_ago: report.polled.map(age_ms),
             leaving: self.leaving,
             peers: SmallVec::new(),
             domains: Vec::new(),
@@ -350,12 +350,12 @@
         self.members.values().filter(move |member| member.liveness(now) != Liveness::Leaving)
     }
 
-    /// Summary of the own domain.
-    fn summary(&self, now: Instant, report: &Report) -> Summary {
+    /// DomainSummary of the own domain.
+    fn summary(&self, now: Instant, report: &Report) -> DomainSummary {
         let local = self.alive(now).filter(|m| m.heartbeat.domain == self.own.domain);
         let mut revisions: Vec<_> = local.map(|m| m.heartbeat.version.revision).collect();
         revisions.push(report.version.revision);
-        Summary::new(self.own.domain.clone(), &revisions)
+        DomainSummary::new(self.own.domain.clone(), &revisions)
     }
 
     /// Adds a few addresses of other routers to the heartbeat. If the domain
--- a/mimosashift/src/wire/message.rs
+++ b/mimosashift/src/wire/message.rs
@@ -49,7 +49,7 @@
     /// Addresses of a few randomly chosen routers.
     pub peers: SmallVec<[SocketAddr; 2]>,
     /// Summaries of failure domains known to the sender.
-    pub domains: Vec<Summary>,
+    pub domains: Vec<DomainSummary>,
     /// Small reports of other modules.
     pub payloads: Vec<Payload>,
 }
@@ -57,7 +57,7 @@
 /// Configuration revisions that the live routers of a failure domain have
 /// installed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Summary {
+pub struct DomainSummary {
     /// Name of the domain.
     pub domain: Name,
     /// Number of live routers.
@@ -69,7 +69,7 @@
     /// Number of routers that have installed `highest`.
     pub at_highest: u16,
     /// Milliseconds since the summary was created.
-    pub ms_ago: u32,
+    pub age_ms: u32,
 }
 
 /// Small report of another module, opaque to membership.
--- a/mimosashift/tests/wire.rs
+++ b/mimosashift/tests/wire.rs
@@ -5,7 +5,7 @@
 use mimosashift::config::transfer::{Request, SnapshotCursor};
 use mimosashift::config::{Version, transfer::Reply};
 use mimosashift::resource::{Kind, Name};
-use mimosashift::wire::message::{Bundle, Heartbeat, Payload, Summary};
+use mimosashift::wire::message::{Bundle, DomainSummary, Heartbeat, Payload};
 use mimosashift::wire::{
     Error, Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, ReplayFilter,
     ReplayWindow,
@@ -37,7 +37,7 @@
         polled_ms_ago: Some(3),
         leaving: false,
         peers: ["127.0.0.1:2".parse().unwrap()].into_iter().collect(),
-        domains: vec![Summary::new(name("e"), &[1, 2, 2])],
+        domains: vec![DomainSummary::new(name("e"), &[1, 2, 2])],
         payloads: vec![Payload { tag: 1, bytes: vec![1, 2, 3] }],
     })
 }
