--- a/mimosabench/src/slopes/config.rs
+++ b/mimosabench/src/slopes/config.rs
@@ -15,7 +15,7 @@
 use mimosashift::platform::{self, Outcome, Page, Row, Table, Transaction};
 use mimosashift::resource::{Kind, Resource};
 use mimosashift::time::Instant;
-use mimosashift::wire::message::Bundle;
+use mimosashift::wire::message::EncodedReply;
 use mimosashift::wire::{Frame, Key, KeyRing, MAX_STREAM_BYTES, Message};
 use mimosastandin::platform::{Instance, Rates};
 use mimosastandin::world::ANY;
@@ -142,7 +142,7 @@
         sender: fleet::name("router-1"),
         incarnation: 1,
         sequence: 1,
-        message: Message::Reply(Bundle::from(reply)),
+        message: Message::Reply(EncodedReply::from(reply)),
     };
     let sealed = KeyRing::new(key, None).seal(&frame, MAX_STREAM_BYTES);
     Ok(sealed.map_err(|error| Error::Call(error.to_string()))?.len())
--- a/mimosashift/src/node/cluster/mod.rs
+++ b/mimosashift/src/node/cluster/mod.rs
@@ -27,7 +27,7 @@
 use crate::member::{self, Identity, InForce, Liveness, Member, Membership};
 use crate::resource::Name;
 use crate::time::Instant;
-use crate::wire::message::Bundle;
+use crate::wire::message::EncodedReply;
 use crate::wire::{Frame, Key, KeyRing, Message};
 
 mod life;
@@ -303,7 +303,7 @@
             Message::Heartbeat(_) => None,
             Message::Request(request) => {
                 let reply = self.cluster.lock().life.replicator().answer(&request);
-                Some(Message::Reply(Bundle::from(&reply)))
+                Some(Message::Reply(EncodedReply::from(&reply)))
             }
             Message::Reply(bundle) => {
                 self.take_reply(&frame.sender, &bundle);
@@ -316,7 +316,7 @@
         }
     }
 
-    fn take_reply(&self, peer: &Name, bundle: &Bundle) {
+    fn take_reply(&self, peer: &Name, bundle: &EncodedReply) {
         // A peer that sends what cannot be read is asked again later.
         let Ok(reply) = Reply::try_from(bundle) else { return };
         let now = self.clock.now();
@@ -392,7 +392,7 @@
             }
             Exchange::Push(peer, records) => {
                 let Some(address) = self.peer_address(&peer) else { return };
-                let message = Message::Reply(Bundle::from(&Reply::Records(records)));
+                let message = Message::Reply(EncodedReply::from(&Reply::Records(records)));
                 // Too long for a datagram, or else pulled after a heartbeat.
                 if transport.send(address, message.clone()).is_err() {
                     let _ = transport.request(address, message);
--- a/mimosashift/src/wire/message.rs
+++ b/mimosashift/src/wire/message.rs
@@ -21,7 +21,7 @@
     /// Requests configuration.
     Request(Request),
     /// Configuration that was requested or is pushed.
-    Reply(Bundle),
+    Reply(EncodedReply),
     /// Small reports that are sent more often than heartbeats.
     Reports(Vec<Payload>),
 }
@@ -84,7 +84,7 @@
 /// Wire form of a [`Reply`]. Records and resources are encoded as JSON, as in
 /// the table, so that routers of two versions can exchange them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Bundle {
+pub enum EncodedReply {
     /// Records in order.
     Records(Vec<String>),
     /// Chunk of a snapshot.
@@ -98,7 +98,7 @@
     },
 }
 
-impl From<&Reply> for Bundle {
+impl From<&Reply> for EncodedReply {
     fn from(reply: &Reply) -> Self {
         match reply {
             Reply::Records(records) => Self::Records(records.iter().map(encode).collect()),
@@ -111,13 +111,13 @@
     }
 }
 
-impl TryFrom<&Bundle> for Reply {
+impl TryFrom<&EncodedReply> for Reply {
     type Error = Error;
 
-    fn try_from(bundle: &Bundle) -> Result<Self, Error> {
+    fn try_from(bundle: &EncodedReply) -> Result<Self, Error> {
         Ok(match bundle {
-            Bundle::Records(records) => Self::Records(decode::<Record>(records)?),
-            Bundle::Chunk { version, resources, more } => {
+            EncodedReply::Records(records) => Self::Records(decode::<Record>(records)?),
+            EncodedReply::Chunk { version, resources, more } => {
                 let resources = decode::<Resource>(resources)?;
                 Self::Chunk(Chunk { version: *version, resources, more: *more })
             }
--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -16,7 +16,7 @@
 use mimosashift::member::{Identity, Membership, Report};
 use mimosashift::resource::{Name, Resource, Snapshot};
 use mimosashift::time::Instant;
-use mimosashift::wire::message::{Bundle, Payload};
+use mimosashift::wire::message::{EncodedReply, Payload};
 use mimosashift::wire::{
     Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, ReplayFilter,
 };
@@ -247,7 +247,7 @@
                     self.send(index, index_of(&peer), Message::Request(request), MAX_STREAM_BYTES);
                 }
                 Action::Push(peer, records) => {
-                    let bundle = Bundle::from(&Reply::Records(records));
+                    let bundle = EncodedReply::from(&Reply::Records(records));
                     self.send(index, index_of(&peer), Message::Reply(bundle), MAX_STREAM_BYTES);
                 }
                 Action::Alarm(error) => self.nodes[index].alarms.push(error),
@@ -327,7 +327,7 @@
                 node.membership.on_heartbeat(now, heartbeat);
             }
             Message::Request(request) => {
-                let bundle = Bundle::from(&node.replicator().answer(&request));
+                let bundle = EncodedReply::from(&node.replicator().answer(&request));
                 self.send(to, from, Message::Reply(bundle), MAX_STREAM_BYTES);
             }
             Message::Reply(bundle) => {
--- a/mimosashift/tests/transport.rs
+++ b/mimosashift/tests/transport.rs
@@ -9,7 +9,7 @@
 use mimosashift::config::transfer::Request;
 use mimosashift::member::transport::Transport;
 use mimosashift::resource::Name;
-use mimosashift::wire::message::Bundle;
+use mimosashift::wire::message::EncodedReply;
 use mimosashift::wire::{Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, Message};
 
 /// Time limit for an expected event.
@@ -47,7 +47,7 @@
 }
 
 fn records(bytes: usize) -> Message {
-    Message::Reply(Bundle::Records(vec!["x".repeat(bytes)]))
+    Message::Reply(EncodedReply::Records(vec!["x".repeat(bytes)]))
 }
 
 #[test]
--- a/mimosashift/tests/wire.rs
+++ b/mimosashift/tests/wire.rs
@@ -5,7 +5,7 @@
 use mimosashift::config::transfer::{Request, SnapshotCursor};
 use mimosashift::config::{Version, transfer::Reply};
 use mimosashift::resource::{Kind, Name};
-use mimosashift::wire::message::{Bundle, DomainSummary, Heartbeat, Payload};
+use mimosashift::wire::message::{DomainSummary, EncodedReply, Heartbeat, Payload};
 use mimosashift::wire::{
     Error, Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES, Message, ReplayFilter,
     ReplayWindow,
@@ -48,7 +48,7 @@
 }
 
 fn reply() -> Message {
-    Message::Reply(Bundle::Records(vec!["{}".to_owned()]))
+    Message::Reply(EncodedReply::Records(vec!["{}".to_owned()]))
 }
 
 fn frame(message: Message) -> Frame {
@@ -82,7 +82,7 @@
 
 #[test]
 fn oversized_frames_are_refused_on_both_sides() {
-    let oversized = frame(Message::Reply(Bundle::Records(vec!["x".repeat(2_000)])));
+    let oversized = frame(Message::Reply(EncodedReply::Records(vec!["x".repeat(2_000)])));
     let is_too_long = |result: Result<(), Error>| matches!(result, Err(Error::TooLong { .. }));
     assert!(is_too_long(ring(1, None).seal(&oversized, MAX_DATAGRAM_BYTES).map(drop)));
     let bytes = ring(1, None).seal(&oversized, MAX_STREAM_BYTES).unwrap();
@@ -98,7 +98,7 @@
 
 #[test]
 fn malformed_records_are_refused() {
-    let bundle = Bundle::Records(vec!["{}".to_owned()]);
+    let bundle = EncodedReply::Records(vec!["{}".to_owned()]);
     assert_eq!(Reply::try_from(&bundle), Err(Error::Malformed));
 }
 
