--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -14,7 +14,7 @@
 use mimosashift::layout::{self, Assignment, EndpointState};
 use mimosashift::meter::PlatformCall;
 use mimosashift::order::lease::{Lease, Settings, TABLE};
-use mimosashift::peer::STORE_LOST;
+use mimosashift::peer::STORE_LOST_AFTER;
 use mimosashift::platform::Outcome;
 use mimosashift::resource::{Layers, Name};
 use mimosashift::time::Instant;
@@ -121,7 +121,7 @@
     fn defers_to_peer(&self) -> bool {
         let now = clock::now();
         let last_answer = self.state.last_store_answer.get();
-        let is_stale = last_answer.is_none_or(|at| now.since(at) > STORE_LOST);
+        let is_stale = last_answer.is_none_or(|at| now.since(at) > STORE_LOST_AFTER);
         self.state.store_lost.get() && is_stale && self.state.peers.borrow().reaches_store(now)
     }
 
--- a/mimosashift/src/peer/mod.rs
+++ b/mimosashift/src/peer/mod.rs
@@ -41,7 +41,7 @@
 /// Time without contact to the store after which a router no longer places
 /// layers if another one reaches the store, because its view of the endpoints
 /// is out of date.
-pub const STORE_LOST: Duration = Duration::from_millis(2_000);
+pub const STORE_LOST_AFTER: Duration = Duration::from_millis(2_000);
 
 /// Time without a digest after which a router is no longer relied on to read
 /// the store: a few digest intervals, and well below the time within which a
@@ -189,7 +189,7 @@
     /// Whether a live router has lost the store while another peer reaches it.
     pub fn is_without_store(&self, node: &str, now: Instant) -> bool {
         let lost = self.known.get(node).is_some_and(|peer| {
-            let stale = peer.store_age(now).is_none_or(|age| age > STORE_LOST);
+            let stale = peer.store_age(now).is_none_or(|age| age > STORE_LOST_AFTER);
             peer.is_alive(now) && peer.digest.store_lost && stale
         });
         lost && self.reaches_store(now)
