--- a/mimosashift/src/member/mod.rs
+++ b/mimosashift/src/member/mod.rs
@@ -97,7 +97,7 @@
 
 /// A heartbeat to send.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct OutgoingHeartbeat {
     /// Destination.
     pub to: SocketAddr,
     /// Heartbeat to send.
@@ -216,7 +216,12 @@
 
     /// Returns the heartbeats that are due. Must be called several times per
     /// [`HEARTBEAT_INTERVAL`].
-    pub fn tick(&mut self, now: Instant, report: &Report, rng: &mut Pcg64Mcg) -> Vec<Send> {
+    pub fn tick(
+        &mut self,
+        now: Instant,
+        report: &Report,
+        rng: &mut Pcg64Mcg,
+    ) -> Vec<OutgoingHeartbeat> {
         if self.last_tick.is_none() {
             // Routers with the same seeds must not all try the same address first.
             self.addresses.make_contiguous().shuffle(rng);
@@ -367,7 +372,7 @@
         target: Target,
         mut heartbeat: Heartbeat,
         rng: &mut Pcg64Mcg,
-    ) -> Send {
+    ) -> OutgoingHeartbeat {
         let to = target.address;
         let is_useful = |member: &&Member| {
             let domain = &member.heartbeat.domain;
@@ -379,7 +384,7 @@
         if target.domain.as_ref() == Some(&self.own.domain) {
             heartbeat.peers.extend(self.remote_address(now, rng));
         }
-        Send { to, heartbeat }
+        OutgoingHeartbeat { to, heartbeat }
     }
 
     /// Occasionally returns the address of a router of another domain, so that
