--- a/mimosabench/src/slopes/membership.rs
+++ b/mimosabench/src/slopes/membership.rs
@@ -123,7 +123,7 @@
         .collect();
     let (mut alive, mut probes) = (0, 0);
     for node in &cluster.nodes {
-        let own = node.membership.own();
+        let own = node.membership.identity();
         let others = node.membership.alive(cluster.now).map(|member| &member.heartbeat);
         let mut known: Vec<_> =
             others.map(|h| Router { name: h.node.as_str(), domain: &h.domain }).collect();
@@ -222,7 +222,7 @@
         let node = &mut self.nodes[index];
         for send in node.membership.tick(self.now, &self.report, &mut node.rng) {
             node.sequence += 1;
-            let own = node.membership.own();
+            let own = node.membership.identity();
             let frame = Frame {
                 sender: own.node.clone(),
                 incarnation: own.incarnation,
--- a/mimosashift/src/member/mod.rs
+++ b/mimosashift/src/member/mod.rs
@@ -145,7 +145,7 @@
 
     /// Current identity of this router; the incarnation increases after a
     /// pause.
-    pub const fn own(&self) -> &Identity {
+    pub const fn identity(&self) -> &Identity {
         &self.own
     }
 
--- a/mimosashift/src/node/cluster/mod.rs
+++ b/mimosashift/src/node/cluster/mod.rs
@@ -133,7 +133,7 @@
     /// Calls `act` with the live routers, this one included.
     pub fn with_routers<T>(&self, now: Instant, act: impl FnOnce(&[Router<'_>]) -> T) -> T {
         let shared = self.lock();
-        let own = shared.membership.own();
+        let own = shared.membership.identity();
         let alive = shared.membership.alive(now).map(|member| &member.heartbeat);
         let mut routers: Vec<Router<'_>> =
             alive.map(|h| Router { name: h.node.as_str(), domain: &h.domain }).collect();
@@ -201,7 +201,7 @@
         let report = shared.report(payloads);
         let Shared { membership, rng, .. } = &mut *shared;
         let sends = membership.tick(now, &report, rng);
-        let incarnation = membership.own().incarnation;
+        let incarnation = membership.identity().incarnation;
         self.note_liveness(&mut shared, now);
         let demand = self.demand(&mut shared, now);
         let routers = shared.membership.alive(now).count() + 1;
@@ -276,7 +276,7 @@
         let Some(ring) = ring(&peer.keys) else { return Ok(()) };
         let node = Arc::downgrade(self);
         let handler = move |frame| node.upgrade()?.take_frame(frame);
-        let own = self.cluster.lock().membership.own().clone();
+        let own = self.cluster.lock().membership.identity().clone();
         let transport =
             Transport::bind(peer.address, ring, own.node, own.incarnation, Box::new(handler))
                 .map_err(|error| Error::Listen {
--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -267,7 +267,7 @@
             && let Ok(state) = call::run(&self.table, Load::new(0))
         {
             // Injected fault: an empty store replaces the installed one.
-            let name = self.nodes[index].membership.own().node.clone();
+            let name = self.nodes[index].membership.identity().node.clone();
             self.nodes[index].phase = Phase::Starting(Router::new(name, self.now));
             let progress = Progress::from(state);
             self.nodes[index].replicator_mut().install_progress(&progress, &[]);
@@ -282,7 +282,7 @@
     fn send(&mut self, from: usize, to: usize, message: Message, limit: usize) {
         let node = &mut self.nodes[from];
         node.sequence += 1;
-        let own = node.membership.own();
+        let own = node.membership.identity();
         let (sender, incarnation) = (own.node.clone(), own.incarnation);
         let frame = Frame { sender, incarnation, sequence: node.sequence, message };
         let bytes = self.ring.seal(&frame, limit).unwrap();
@@ -395,7 +395,7 @@
     }
 
     fn try_serve(&mut self, now: Instant, peers: &[Peer]) {
-        let name = self.membership.own().node.clone();
+        let name = self.membership.identity().node.clone();
         let placeholder = Phase::Starting(Router::new(name, now));
         self.phase = match std::mem::replace(&mut self.phase, placeholder) {
             Phase::Starting(router) => match router.serve(now, peers) {
--- a/mimosashift/tests/member.rs
+++ b/mimosashift/tests/member.rs
@@ -49,7 +49,7 @@
             local + 1,
             same,
             "{:?} does not know all routers of its domain",
-            node.membership.own()
+            node.membership.identity()
         );
     }
 }
@@ -132,7 +132,7 @@
     let mut peer = other(5);
     own.on_heartbeat(at(0), heartbeat(&mut peer, at(0)));
     heartbeat(&mut own, at(0));
-    let before = own.own().incarnation;
+    let before = own.identity().incarnation;
     let announced = heartbeat(&mut own, at(4_000));
     assert!(announced.incarnation > before);
     assert!(
@@ -177,7 +177,7 @@
     cluster.run(SETTLE).unwrap();
     for node in &cluster.nodes {
         let domains = node.membership.in_force(cluster.now, &node.report(), 0);
-        assert_eq!(domains.len(), 2, "{:?} knows {domains:?}", node.membership.own().node);
+        assert_eq!(domains.len(), 2, "{:?} knows {domains:?}", node.membership.identity().node);
     }
 }
 
@@ -202,7 +202,7 @@
     assert!(!sends.is_empty());
     for send in sends {
         let message = Message::Heartbeat(send.heartbeat);
-        let sender = own.own().node.clone();
+        let sender = own.identity().node.clone();
         let frame = Frame { sender, incarnation: u64::MAX, sequence: u64::MAX, message };
         ring.seal(&frame, MAX_DATAGRAM_BYTES).unwrap();
     }
--- a/mimosashift/tests/spread.rs
+++ b/mimosashift/tests/spread.rs
@@ -209,7 +209,7 @@
     cluster.commit(0, change(1, "urgent", 1)).unwrap();
     cluster.run_until(1, Duration::from_secs(2)).unwrap();
     let peers = cluster.nodes[0].membership.peers(cluster.now);
-    let node = cluster.nodes[0].membership.own().node.clone();
+    let node = cluster.nodes[0].membership.identity().node.clone();
     let starting = Router::new(node, cluster.now);
     let later = cluster.now + START_TIME;
     let behind = NotServingReason::Behind { installed: 0, wanted: 1 };
