--- a/mimosashift/src/member/mod.rs
+++ b/mimosashift/src/member/mod.rs
@@ -139,7 +139,7 @@
             last_tick: None,
             next_round: Instant::ZERO,
         };
-        membership.learn(seeds);
+        membership.add_addresses(seeds);
         membership
     }
 
@@ -194,7 +194,7 @@
     }
 
     /// Adds router addresses, for example from the VM list or settings.
-    pub fn learn(&mut self, addresses: &[SocketAddr]) {
+    pub fn add_addresses(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
             let known = *address == self.own.address || self.addresses.contains(address);
             if known || self.is_member_address(*address) {
@@ -264,7 +264,7 @@
         }
         // Addresses that another router reports as alive are tried first.
         self.addresses.retain(|address| !heartbeat.peers.contains(address));
-        self.learn(&heartbeat.peers);
+        self.add_addresses(&heartbeat.peers);
         let summaries = std::mem::take(&mut heartbeat.domains);
         self.domains.merge(now, &self.own.domain, summaries);
         self.addresses.retain(|address| *address != heartbeat.address);
@@ -300,7 +300,7 @@
             }
             keep
         });
-        self.learn(&expired);
+        self.add_addresses(&expired);
         self.domains.remove_expired(now);
     }
 
--- a/mimosashift/src/peer/mod.rs
+++ b/mimosashift/src/peer/mod.rs
@@ -165,12 +165,12 @@
             next: now,
             last_bytes: 0,
         };
-        peers.learn(seeds, now);
+        peers.add_addresses(seeds, now);
         peers
     }
 
     /// Adds addresses of routers.
-    pub fn learn(&mut self, addresses: &[SocketAddr], now: Instant) {
+    pub fn add_addresses(&mut self, addresses: &[SocketAddr], now: Instant) {
         for address in addresses.iter().filter(|address| **address != self.own) {
             self.addresses.entry(*address).or_insert(now + PEER_RETENTION);
         }
@@ -259,7 +259,7 @@
 
     /// Applies a received digest.
     pub fn hear(&mut self, from: SocketAddr, digest: Digest, now: Instant) -> Event {
-        self.learn(&digest.peers, now);
+        self.add_addresses(&digest.peers, now);
         self.addresses.insert(from, now + PEER_RETENTION);
         let version = |digest: &Digest| (digest.incarnation, digest.sequence);
         let event = match self.known.get(&digest.node) {
