--- a/mimosashift/src/member/mod.rs
+++ b/mimosashift/src/member/mod.rs
@@ -272,7 +272,7 @@
         let ago = |ms: u32| now - Duration::from_millis(u64::from(ms));
         let polled = heartbeat.polled_ms_ago.map(ago);
         let leaving = heartbeat.leaving;
-        let member = Member { polled, heard: now, presumed_dead: false, heartbeat };
+        let member = Member { polled, last_heartbeat_at: now, presumed_dead: false, heartbeat };
         self.members.insert(member.heartbeat.node.clone(), member);
         if leaving { Event::Left } else { event }
     }
@@ -294,7 +294,7 @@
     fn remove_expired(&mut self, now: Instant) {
         let mut expired = Vec::new();
         self.members.retain(|_, member| {
-            let keep = now.since(member.heard) < MEMBER_RETENTION;
+            let keep = now.since(member.last_heartbeat_at) < MEMBER_RETENTION;
             if !keep && !member.heartbeat.leaving {
                 expired.push(member.heartbeat.address);
             }
--- a/mimosashift/src/member/peer.rs
+++ b/mimosashift/src/member/peer.rs
@@ -30,7 +30,7 @@
     /// Its last heartbeat.
     pub heartbeat: Heartbeat,
     /// Arrival time of the last heartbeat.
-    pub heard: Instant,
+    pub last_heartbeat_at: Instant,
     /// When the router last polled the head of the configuration table.
     pub polled: Option<Instant>,
     /// Set when this process was paused: the router counts as dead until its
@@ -60,7 +60,7 @@
 impl Member {
     /// Liveness of the router at `now`.
     pub fn liveness(&self, now: Instant) -> Liveness {
-        let silence = now.since(self.heard);
+        let silence = now.since(self.last_heartbeat_at);
         if self.heartbeat.leaving {
             return Liveness::Leaving;
         }
