--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -108,7 +108,7 @@
     let peers = state.peers.borrow();
     let Some(peer) = peers.reader(&state.node().name, now) else { return false };
     let Some(seen) = peer.digest.directory else { return false };
-    let age = seen.age + now.since(peer.heard);
+    let age = seen.age + now.since(peer.last_digest_at);
     let same = seen.fingerprint == state.fleet.borrow().fingerprint();
     if same && age < STORE_OUTAGE_AFTER {
         state.last_directory_read.set(state.last_directory_read.get().max(Some(now - age)));
--- a/mimosashift/src/peer/mod.rs
+++ b/mimosashift/src/peer/mod.rs
@@ -124,7 +124,7 @@
     /// Last digest received.
     pub digest: Digest,
     /// Arrival time of the last digest.
-    pub heard: Instant,
+    pub last_digest_at: Instant,
 }
 
 /// Effect of a received digest.
@@ -212,7 +212,7 @@
         if now < self.next {
             return Vec::new();
         }
-        self.known.retain(|_, peer| now.since(peer.heard) < PEER_RETENTION);
+        self.known.retain(|_, peer| now.since(peer.last_digest_at) < PEER_RETENTION);
         self.addresses.retain(|_, expires| now < *expires);
         let all = self.rounds.is_multiple_of(ROUNDS_PER_REMOTE);
         self.rounds += 1;
@@ -234,7 +234,7 @@
         let reads = |peer: &&Peer| {
             let age = peer.store_age(now);
             peer.digest.zone == self.zone
-                && now.since(peer.heard) < READER_TIMEOUT
+                && now.since(peer.last_digest_at) < READER_TIMEOUT
                 && age.is_some_and(|age| age < READER_MAX_STORE_AGE)
         };
         self.alive(now).find(reads).filter(|peer| &*peer.digest.node < node)
@@ -267,7 +267,7 @@
             Some(known) if known.digest.incarnation == digest.incarnation => Event::Renewed,
             _ => Event::Joined,
         };
-        let peer = Peer { address: from, digest, heard: now };
+        let peer = Peer { address: from, digest, last_digest_at: now };
         self.known.insert(peer.digest.node.clone(), peer);
         event
     }
@@ -283,12 +283,12 @@
 impl Peer {
     /// Time since the peer last reached the store.
     fn store_age(&self, now: Instant) -> Option<Duration> {
-        self.digest.store_age.map(|age| age + now.since(self.heard))
+        self.digest.store_age.map(|age| age + now.since(self.last_digest_at))
     }
 
     /// Whether the peer counts as alive.
     pub fn is_alive(&self, now: Instant) -> bool {
-        !self.digest.leaving && now.since(self.heard) < DEAD_AFTER
+        !self.digest.leaving && now.since(self.last_digest_at) < DEAD_AFTER
     }
 }
 
