--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -66,13 +66,13 @@
         return;
     }
     let mut digest = digest(state, now);
-    digest.limit();
+    digest.truncate();
     for (to, echo) in due {
         digest.echo = echo;
         digest.stamp = clock::now();
-        digest.sequence = state.peers.borrow_mut().number();
+        digest.sequence = state.peers.borrow_mut().next_sequence();
         let bytes = postcard::to_stdvec(&digest).expect("digest is serializable");
-        state.peers.borrow_mut().sent(bytes.len());
+        state.peers.borrow_mut().record_size(bytes.len());
         // A failed send equals a lost datagram: the next digest follows soon.
         if socket.send_to(&bytes, to).await.is_ok() {
             state.meter.heartbeats_sent(1);
@@ -110,7 +110,7 @@
             .map(|(at, observed)| Observation { age: now.since(*at), ..*observed })
             .collect(),
         dead: state.fleet.borrow().dead().map(Member::key).collect(),
-        peers: state.peers.borrow().share(now),
+        peers: state.peers.borrow().shared_addresses(now),
     }
 }
 
@@ -121,7 +121,7 @@
         return;
     };
     state.meter.heartbeats_received(1);
-    let event = state.peers.borrow_mut().hear(from, digest.clone(), now);
+    let event = state.peers.borrow_mut().on_digest(from, digest.clone(), now);
     match event {
         mimosashift::peer::Event::Outdated => return,
         mimosashift::peer::Event::Joined => {
@@ -163,7 +163,7 @@
     now: Instant,
     last_fetch: &mut Instant,
 ) {
-    if let Some(relayed) = digest.relayed() {
+    if let Some(relayed) = digest.confirmation() {
         let mut freshness = state.config_freshness.get();
         if freshness.confirm_from_peer(&relayed, state.revision()) {
             state.config_freshness.set(freshness);
--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -149,7 +149,7 @@
         let now = clock::now();
         let holder_is_inactive = lease.holder().is_some_and(|holder| {
             let peers = state.peers.borrow();
-            peers.is_dead(holder.as_str(), now) || peers.is_without_store(holder.as_str(), now)
+            peers.is_dead(holder.as_str(), now) || peers.has_lost_store(holder.as_str(), now)
         });
         let takeover = holder_is_inactive || lease.is_overdue(now);
         if let Some(transaction) = lease.write(takeover, now) {
--- a/mimosashift/src/peer/mod.rs
+++ b/mimosashift/src/peer/mod.rs
@@ -187,7 +187,7 @@
     }
 
     /// Whether a live router has lost the store while another peer reaches it.
-    pub fn is_without_store(&self, node: &str, now: Instant) -> bool {
+    pub fn has_lost_store(&self, node: &str, now: Instant) -> bool {
         let lost = self.known.get(node).is_some_and(|peer| {
             let stale = peer.store_age(now).is_none_or(|age| age > STORE_LOST_AFTER);
             peer.is_alive(now) && peer.digest.store_lost && stale
@@ -241,24 +241,24 @@
     }
 
     /// Returns the sequence number for the next digest.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
     /// Records the size of a digest, which determines the interval between
     /// rounds.
-    pub fn sent(&mut self, bytes: usize) {
+    pub fn record_size(&mut self, bytes: usize) {
         self.last_bytes = bytes;
     }
 
     /// Addresses of live routers to include in a digest.
-    pub fn share(&self, now: Instant) -> Vec<SocketAddr> {
+    pub fn shared_addresses(&self, now: Instant) -> Vec<SocketAddr> {
         self.alive(now).map(|peer| peer.address).take(ADDRESSES_PER_DIGEST).collect()
     }
 
     /// Applies a received digest.
-    pub fn hear(&mut self, from: SocketAddr, digest: Digest, now: Instant) -> Event {
+    pub fn on_digest(&mut self, from: SocketAddr, digest: Digest, now: Instant) -> Event {
         self.add_addresses(&digest.peers, now);
         self.addresses.insert(from, now + PEER_RETENTION);
         let version = |digest: &Digest| (digest.incarnation, digest.sequence);
@@ -295,13 +295,13 @@
 impl Digest {
     /// Confirmation of the configuration by the sender, if the digest echoes a
     /// timestamp from which its age can be determined.
-    pub fn relayed(&self) -> Option<PeerConfirmation> {
+    pub fn confirmation(&self) -> Option<PeerConfirmation> {
         let Config { revision, age } = self.config?;
         Some(PeerConfirmation { request_sent: self.echo?, revision, age: age? })
     }
 
     /// Truncates the digest to the most used and to a few dead endpoints.
-    pub fn limit(&mut self) {
+    pub fn truncate(&mut self) {
         self.dead.truncate(MAX_DEAD_ENDPOINTS);
         if self.usage.len() > MAX_USAGE_ENTRIES {
             self.usage.sort_by(|a, b| b.1.cache.total_cmp(&a.1.cache));
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -242,7 +242,7 @@
     let mut heard = digest("r2", 1, 1);
     heard.stamp = at(40);
     heard.peers = vec![address(3)];
-    assert_eq!(peers.hear(address(2), heard, at(60)), Event::Joined);
+    assert_eq!(peers.on_digest(address(2), heard, at(60)), Event::Joined);
     assert!(peers.is_alive("r2", at(60)));
     // The peer's stamp goes back to it; what it knows is greeted as well.
     let due: Vec<_> = (0..4).flat_map(|n| peers.due(at(500 + n * 400))).collect();
@@ -253,21 +253,21 @@
 #[test]
 fn late_and_old_digests_are_not_taken_in() {
     let mut peers = peers();
-    assert_eq!(peers.hear(address(2), digest("r2", 2, 5), at(0)), Event::Joined);
-    assert_eq!(peers.hear(address(2), digest("r2", 2, 4), at(1)), Event::Outdated);
-    assert_eq!(peers.hear(address(2), digest("r2", 1, 9), at(2)), Event::Outdated);
-    assert_eq!(peers.hear(address(2), digest("r2", 2, 6), at(3)), Event::Renewed);
-    assert_eq!(peers.hear(address(2), digest("r2", 3, 1), at(4)), Event::Joined);
+    assert_eq!(peers.on_digest(address(2), digest("r2", 2, 5), at(0)), Event::Joined);
+    assert_eq!(peers.on_digest(address(2), digest("r2", 2, 4), at(1)), Event::Outdated);
+    assert_eq!(peers.on_digest(address(2), digest("r2", 1, 9), at(2)), Event::Outdated);
+    assert_eq!(peers.on_digest(address(2), digest("r2", 2, 6), at(3)), Event::Renewed);
+    assert_eq!(peers.on_digest(address(2), digest("r2", 3, 1), at(4)), Event::Joined);
 }
 
 #[test]
 fn silent_and_leaving_peers_are_not_alive() {
     let mut peers = peers();
-    peers.hear(address(2), digest("r2", 1, 1), at(0));
+    peers.on_digest(address(2), digest("r2", 1, 1), at(0));
     assert!(peers.is_alive("r2", at(1_400)));
     assert!(peers.is_dead("r2", at(1_600)));
     let leaving = Digest { leaving: true, ..digest("r2", 1, 2) };
-    peers.hear(address(2), leaving, at(1_700));
+    peers.on_digest(address(2), leaving, at(1_700));
     assert!(!peers.is_alive("r2", at(1_700)));
 }
 
@@ -276,9 +276,9 @@
 #[test_case("r3", 800 => None; "not on one that fell silent")]
 fn one_router_of_a_zone_reads(node: &str, ms: u64) -> Option<String> {
     let mut peers = peers();
-    peers.hear(address(2), digest("r2", 1, 1), at(0));
+    peers.on_digest(address(2), digest("r2", 1, 1), at(0));
     let far = Digest { zone: "b".into(), ..digest("r0", 1, 1) };
-    peers.hear(address(4), far, at(0));
+    peers.on_digest(address(4), far, at(0));
     peers.reader(node, at(ms)).map(|peer| peer.digest.node.to_string())
 }
 
@@ -292,20 +292,20 @@
     let mut peers = peers();
     let store_age = Some(Duration::from_millis(age_ms));
     let leader = Digest { store_lost: lost, store_age, ..digest("r2", 1, 1) };
-    peers.hear(address(2), leader, at(0));
+    peers.on_digest(address(2), leader, at(0));
     let store_age = other.then_some(Duration::ZERO);
-    peers.hear(address(4), Digest { store_age, ..digest("r4", 1, 1) }, at(0));
-    peers.is_without_store("r2", at(10))
+    peers.on_digest(address(4), Digest { store_age, ..digest("r4", 1, 1) }, at(0));
+    peers.has_lost_store("r2", at(10))
 }
 
 #[test]
 fn confirmation_needs_an_echo() {
     let config = Some(Config { revision: 7, age: Some(S) });
     let mut told = Digest { config, ..digest("r2", 1, 1) };
-    assert_eq!(told.relayed(), None);
+    assert_eq!(told.confirmation(), None);
     told.echo = Some(at(500));
     assert_eq!(
-        told.relayed(),
+        told.confirmation(),
         Some(PeerConfirmation { request_sent: at(500), revision: 7, age: S })
     );
 }
