--- a/mimosafront/src/state.rs
+++ b/mimosafront/src/state.rs
@@ -109,7 +109,7 @@
     /// Creates the initial state.
     pub fn new(node: Node, log: Logger, meter: Meter) -> Rc<Self> {
         let settings =
-            link::Settings { connect_timeout: CONNECT_TIMEOUT, silence: UNACKED_TIMEOUT };
+            link::Settings { connect_timeout: CONNECT_TIMEOUT, unacked_timeout: UNACKED_TIMEOUT };
         let pool = Pool::new(settings);
         let store = Store::new(pool.clone(), node.store.address, STORE_TIMEOUT);
         let now = clock::now();
--- a/mimosashift/src/link/mod.rs
+++ b/mimosashift/src/link/mod.rs
@@ -47,7 +47,7 @@
     pub connect_timeout: Duration,
     /// Time for which sent data may remain unacknowledged before the connection
     /// is closed; also the interval of keep-alive probes, at least one second.
-    pub silence: Duration,
+    pub unacked_timeout: Duration,
 }
 
 quick_error! {
@@ -239,10 +239,10 @@
 
     fn configure(&self, stream: &TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let silence = self.settings.silence;
+        let unacked_timeout = self.settings.unacked_timeout;
         let socket = SockRef::from(stream);
-        socket.set_tcp_user_timeout(Some(silence))?;
-        let probe = silence.max(Duration::from_secs(1));
+        socket.set_tcp_user_timeout(Some(unacked_timeout))?;
+        let probe = unacked_timeout.max(Duration::from_secs(1));
         socket.set_tcp_keepalive(
             &TcpKeepalive::new().with_time(probe).with_interval(probe).with_retries(2),
         )
