--- a/mimosafront/src/probe.rs
+++ b/mimosafront/src/probe.rs
@@ -90,7 +90,7 @@
     match outcome {
         Ok(report) => ProbeResult::Alive(report),
         Err(reason) => {
-            state.pool.forget(hop.address);
+            state.pool.close_idle(hop.address);
             state.mark_dead(&hop.id, &reason);
             ProbeResult::Dead(reason)
         }
@@ -103,7 +103,7 @@
     loop {
         let closed = tokio::select! {
             () = sleep(SILENCE_CHECK_INTERVAL) => Vec::new(),
-            closed = state.pool.closed() => closed,
+            closed = state.pool.closed_addresses() => closed,
         };
         let hops = {
             let fleet = state.fleet.borrow();
--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -344,7 +344,7 @@
             }
             Err(Some(Failure::Lost { reason })) => {
                 self.state().mark_suspect(&first.id, &reason);
-                self.state().pool.forget(first.address);
+                self.state().pool.close_idle(first.address);
                 self.avoid.push(first);
                 self.may_have_run += 1;
                 Err("answer lost")
@@ -407,7 +407,7 @@
         let status = exchange.head.status();
         let info = header::answer(exchange.head.headers());
         if !self.ctx.is_answered_by(&info, status) {
-            self.state().pool.forget(first.address);
+            self.state().pool.close_idle(first.address);
             self.may_have_run += 1;
             return Err("answer to another request");
         }
--- a/mimosafront/src/relay/plain.rs
+++ b/mimosafront/src/relay/plain.rs
@@ -134,12 +134,12 @@
         }
         Ok(Err(Failure::Lost { reason })) => {
             state.mark_suspect(&hop.id, &reason);
-            state.pool.forget(hop.address);
+            state.pool.close_idle(hop.address);
             return SendOutcome::Lost("answer lost");
         }
         Err(_) => {
             state.mark_suspect(&hop.id, "no answer in time");
-            state.pool.forget(hop.address);
+            state.pool.close_idle(hop.address);
             return SendOutcome::Lost("no answer in time");
         }
     };
@@ -174,7 +174,7 @@
     let status = exchange.head.status();
     let info: AnswerInfo = header::answer(exchange.head.headers());
     if !ctx.is_answered_by(&info, status) {
-        ctx.state.pool.forget(exchange.address());
+        ctx.state.pool.close_idle(exchange.address());
         emit!(ctx.state.log, Event::ReplyDropped, "request" => &*ctx.id, "answers" => info.id.unwrap_or_default());
         return SendOutcome::Lost("answer to another request");
     }
--- a/mimosafront/src/shutdown.rs
+++ b/mimosafront/src/shutdown.rs
@@ -64,7 +64,7 @@
         polls += 1;
         if signals.reload.swap(false, Ordering::Relaxed) || polls % POLLS_PER_RELOAD == 0 {
             reload(&state, &mut file);
-            state.pool.sweep();
+            state.pool.close_expired();
         }
     }
     state.stopping.set(true);
--- a/mimosashift/src/link/mod.rs
+++ b/mimosashift/src/link/mod.rs
@@ -71,7 +71,7 @@
     settings: Settings,
     idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
     /// Addresses that closed a connection, not yet returned by
-    /// [`Pool::closed`].
+    /// [`Pool::closed_addresses`].
     closed: RefCell<Vec<SocketAddr>>,
     closing: Notify,
 }
@@ -162,7 +162,7 @@
 
     /// Waits for and returns the addresses that have closed connections since
     /// the last call: a server process that exits closes all its connections.
-    pub async fn closed(&self) -> Vec<SocketAddr> {
+    pub async fn closed_addresses(&self) -> Vec<SocketAddr> {
         loop {
             let closing = self.closing.notified();
             let closed = std::mem::take(&mut *self.closed.borrow_mut());
@@ -175,12 +175,12 @@
 
     /// Closes the idle connections to an address, for example because another
     /// connection as old as these has stopped responding.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
     /// Closes connections that have exceeded their idle timeout.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
