--- a/mimosafront/src/relay/model/forward.rs
+++ b/mimosafront/src/relay/model/forward.rs
@@ -133,7 +133,7 @@
         let opened = self.open().await;
         match opened {
             Ok(exchange) if exchange.head.status().is_success() => {
-                self.events.restart();
+                self.events.discard_partial();
                 self.state().meter.recoveries(1, Recovery::Restarted);
                 Ok(exchange)
             }
@@ -149,7 +149,7 @@
     }
 
     async fn complete_stream(&mut self, sender: &mpsc::Sender<Chunk>) {
-        let rest = self.events.rest();
+        let rest = self.events.take_partial();
         if !rest.is_empty() {
             // Bytes after the last event belong to the response as well.
             drop(sender.send(Chunk::Data(rest.into())).await);
--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -14,7 +14,7 @@
 use mimosashift::fleet::{Chain, Claim, Demand, Hop, Member, Query, Shortage};
 use mimosashift::link::{Exchange, Failure};
 use mimosashift::meter::{Outcome, RefusalReason};
-use mimosashift::stream::Events;
+use mimosashift::stream::EventSplitter;
 use mimosashift::time::Instant;
 use smallvec::SmallVec;
 use tokio::sync::mpsc;
@@ -60,7 +60,7 @@
     engine: Arc<Engine>,
     demand: Demand,
     claim: Option<Claim>,
-    events: Events,
+    events: EventSplitter,
     /// Number of events forwarded.
     events_forwarded: usize,
     /// Timing of these events.
@@ -140,7 +140,7 @@
                 Demand { prompt: f64::from(tokens.prompt), output }
             }
         };
-        let events = Events::after(ctx.last_event);
+        let events = EventSplitter::after(ctx.last_event);
         Self {
             ctx,
             engine,
--- a/mimosashift/src/stream.rs
+++ b/mimosashift/src/stream.rs
@@ -11,14 +11,14 @@
 
 /// Splits the bytes of a stream into events.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventSplitter {
     partial: Vec<u8>,
     last: Option<u64>,
 }
 
 /// Complete events to forward.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Whole {
+pub struct CompleteEvents {
     /// Concatenated bytes of the events.
     pub bytes: Vec<u8>,
     /// Number of events.
@@ -27,9 +27,9 @@
 
 /// An incomplete event exceeds [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Oversized;
+pub struct EventTooLong;
 
-impl Events {
+impl EventSplitter {
     /// Resumes a stream of which the client has the events up to id `last`.
     pub const fn after(last: Option<u64>) -> Self {
         Self { partial: Vec::new(), last }
@@ -42,7 +42,7 @@
 
     /// Discards the incomplete event of an interrupted stream before it is
     /// resumed.
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
@@ -53,9 +53,9 @@
 
     /// Appends bytes and returns the events that they complete, without those
     /// already forwarded.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Whole, Oversized> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<CompleteEvents, EventTooLong> {
         self.partial.extend_from_slice(bytes);
-        let mut complete = Whole::default();
+        let mut complete = CompleteEvents::default();
         let mut from = 0;
         while let Some(length) = event_length(&self.partial[from..]) {
             let event = &self.partial[from..from + length];
@@ -70,13 +70,13 @@
         }
         self.partial.drain(..from);
         if self.partial.len() > MAX_EVENT_BYTES {
-            return Err(Oversized);
+            return Err(EventTooLong);
         }
         Ok(complete)
     }
 
     /// Takes the bytes after the last complete event, at the end of a stream.
-    pub fn rest(&mut self) -> Vec<u8> {
+    pub fn take_partial(&mut self) -> Vec<u8> {
         mem::take(&mut self.partial)
     }
 }
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -9,7 +9,7 @@
 use mimosashift::freshness::{Freshness, PeerConfirmation};
 use mimosashift::peer::{Config, Digest, Event, Peers};
 use mimosashift::pipeline::retry::{Window, WindowLimits};
-use mimosashift::stream::Events;
+use mimosashift::stream::EventSplitter;
 use mimosashift::time::Instant;
 use proptest::prelude::*;
 use test_case::test_case;
@@ -118,12 +118,12 @@
 
 #[test]
 fn events_are_passed_on_whole_and_once() {
-    let mut events = Events::after(None);
+    let mut events = EventSplitter::after(None);
     let stream: String = (1..=3).map(event).collect();
     let cut = stream.len() - 5;
     let first = events.push(&stream.as_bytes()[..cut]).unwrap();
     assert_eq!((first.count, events.last()), (2, Some(2)));
-    events.restart();
+    events.discard_partial();
     // The next endpoint repeats an event and goes on.
     let again: String = (2..=4).map(event).collect();
     let next = events.push(again.as_bytes()).unwrap();
@@ -133,7 +133,7 @@
 
 #[test]
 fn events_that_the_client_has_are_left_out() {
-    let mut events = Events::after(Some(2));
+    let mut events = EventSplitter::after(Some(2));
     let stream: String = (1..=3).map(event).collect();
     assert_eq!(events.push(stream.as_bytes()).unwrap().bytes, event(3).into_bytes());
 }
@@ -148,16 +148,16 @@
         total in 1..40_u64,
         breaks in prop::collection::vec((0..600_usize, 1..50_usize), 0..4),
     ) {
-        let mut events = Events::after(None);
+        let mut events = EventSplitter::after(None);
         let mut got = Vec::new();
-        let mut feed = |events: &mut Events, upto: Option<usize>, piece: usize| {
+        let mut feed = |events: &mut EventSplitter, upto: Option<usize>, piece: usize| {
             let from = events.last().map_or(1, |last| last + 1);
             let rest: String = (from..=total).map(event).collect();
             let upto = upto.unwrap_or(rest.len()).min(rest.len());
             for part in rest.as_bytes()[..upto].chunks(piece) {
                 got.extend(events.push(part).unwrap().bytes);
             }
-            events.restart();
+            events.discard_partial();
         };
         for (upto, piece) in breaks {
             feed(&mut events, Some(upto), piece);
