--- a/mimosashift/tests/config.rs
+++ b/mimosashift/tests/config.rs
@@ -2,7 +2,7 @@
 
 mod fake;
 
-use fake::{Fake, Fault, Rows, change};
+use fake::{FakeTable, Fault, Rows, change};
 use mimosashift::config::call::{self, Call, StateMachine, Step};
 use mimosashift::config::catchup::CatchUp;
 use mimosashift::config::change::Commit;
@@ -13,15 +13,15 @@
 use rand_pcg::Pcg64Mcg;
 use test_case::test_case;
 
-fn commit(table: &Fake, change: Change, state: &State) -> Result<u64, Error> {
+fn commit(table: &FakeTable, change: Change, state: &State) -> Result<u64, Error> {
     call::run(table, Commit::new(change, state.clone())).map(|committed| committed.revision)
 }
 
-fn load(table: &Fake) -> State {
+fn load(table: &FakeTable) -> State {
     call::run(table, Load::new(0)).unwrap()
 }
 
-fn records(table: &Fake) -> Vec<Record> {
+fn records(table: &FakeTable) -> Vec<Record> {
     call::run(table, CatchUp::new(State::default())).unwrap().records
 }
 
@@ -35,7 +35,7 @@
 #[test_case(&[Fault::LostAfterEffect; 8], Ok(1); "every response lost")]
 #[test_case(&[Fault::LostBeforeEffect; 8], Err(false); "every request lost")]
 fn reported_outcome_matches_the_table(faults: &[Fault], expected: Result<u64, bool>) {
-    let table = Fake::default();
+    let table = FakeTable::default();
     table.with(|inner| inner.commits = faults.to_vec());
     let outcome = commit(&table, change(7, "urgent", 0), &State::default());
     assert_eq!(outcome.clone().map_err(|e| e.not_run()), expected, "{outcome:?}");
@@ -52,7 +52,7 @@
 
 #[test]
 fn reused_change_id_is_rejected() {
-    let table = Fake::default();
+    let table = FakeTable::default();
     commit(&table, change(7, "urgent", 0), &State::default()).unwrap();
     let other = commit(&table, change(7, "urgent", 1), &State::default());
     assert_eq!(other, Err(Error::ChangeIdReused(ChangeId(7))));
@@ -62,7 +62,7 @@
 fn concurrent_changes_commit_once_per_revision() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let table = Fake::default();
+        let table = FakeTable::default();
         commit(&table, change(1, "urgent", 0), &State::default()).unwrap();
         let base = load(&table);
         let mut machines: Vec<_> = (2..5)
@@ -104,7 +104,7 @@
 
 #[test]
 fn contended_change_reports_the_last_operator() {
-    let table = Fake::default();
+    let table = FakeTable::default();
     commit(&table, change(1, "urgent", 0), &State::default()).unwrap();
     let mut machine = Commit::new(change(2, "batch", 1), load(&table));
     let mut step = machine.start();
@@ -128,7 +128,7 @@
 
 #[test]
 fn dry_run_changes_nothing() {
-    let table = Fake::default();
+    let table = FakeTable::default();
     let mut wanted = change(1, "urgent", 0);
     wanted.dry_run = true;
     assert_eq!(commit(&table, wanted, &State::default()), Ok(1));
@@ -137,7 +137,7 @@
 
 #[test]
 fn references_are_checked_on_the_current_state() {
-    let table = Fake::default();
+    let table = FakeTable::default();
     let old = State::default();
     commit(&table, change(1, "urgent", 0), &old).unwrap();
     let mut team = change(2, "counter", 0);
@@ -151,7 +151,7 @@
 
 #[test]
 fn audit_truncates_digests() {
-    let table = Fake::default();
+    let table = FakeTable::default();
     commit(&table, change(1, "urgent", 0), &State::default()).unwrap();
     let digest = "ab".repeat(32);
     for (id, weight) in [(2, 1), (3, 2)] {
@@ -173,7 +173,7 @@
 
 #[test]
 fn restored_table_is_rejected() {
-    let table = Fake::default();
+    let table = FakeTable::default();
     commit(&table, change(1, "urgent", 0), &State::default()).unwrap();
     let backup = table.rows();
     commit(&table, change(2, "urgent", 1), &State::default()).unwrap();
@@ -196,7 +196,7 @@
 fn load_during_changes_is_consistent() {
     for seed in 0..50 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let table = Fake::default();
+        let table = FakeTable::default();
         let mut id = 0;
         let mut installed = State::default();
         let mut commit_random_change = |rng: &mut Pcg64Mcg| {
@@ -232,7 +232,7 @@
 
 #[test]
 fn load_of_stale_pages_is_rejected() {
-    let table = Fake::default();
+    let table = FakeTable::default();
     commit(&table, change(1, "urgent", 0), &State::default()).unwrap();
     let old = table.rows();
     commit(&table, change(2, "urgent", 1), &State::default()).unwrap();
@@ -253,7 +253,7 @@
 
 #[test]
 fn oversized_specification_is_rejected() {
-    let table = Fake::default();
+    let table = FakeTable::default();
     let teams: Vec<_> = (0..2_000).map(|n| format!("\"{n:040}\"")).collect();
     let body = format!(r#"{{"model":"m","pipeline":"p","teams":[{}]}}"#, teams.join(","));
     let mut wanted = change(1, "r", 0);
@@ -267,7 +267,7 @@
 /// answered with rows from before the earlier attempt.
 #[test]
 fn stale_lookup_does_not_apply_a_change_twice() {
-    let table = Fake::default();
+    let table = FakeTable::default();
     let before = table.rows();
     commit(&table, change(7, "urgent", 0), &State::default()).unwrap();
     let mut machine = Commit::new(change(7, "urgent", 0), load(&table));
@@ -288,10 +288,10 @@
 
 #[test]
 fn record_of_another_history_is_rejected() {
-    let table = Fake::default();
+    let table = FakeTable::default();
     commit(&table, change(1, "urgent", 0), &State::default()).unwrap();
     let installed = load(&table);
-    let other = Fake::default();
+    let other = FakeTable::default();
     commit(&other, change(2, "urgent", 0), &State::default()).unwrap();
     commit(&other, change(3, "urgent", 1), &State::default()).unwrap();
     let next = records(&other).pop().unwrap();
--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -23,7 +23,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::Fake;
+use super::FakeTable;
 
 /// Virtual time per step.
 pub const STEP: Duration = Duration::from_millis(50);
@@ -56,23 +56,23 @@
 
 /// Network fault settings.
 #[derive(Clone, Default)]
-pub struct Net {
+pub struct NetworkFaults {
     pub drop: f64,
     pub duplicate: f64,
     /// Maximum delay of a message, in steps.
     pub delay: u64,
     /// Network partition that each failure domain belongs to.
-    pub side: Vec<usize>,
+    pub partition: Vec<usize>,
     /// Whether each failure domain is cut off from the table service.
-    pub table_cut: Vec<bool>,
+    pub table_unreachable: Vec<bool>,
 }
 
 /// Simulated cluster, driven by a single loop.
 pub struct Cluster {
     pub now: Instant,
     pub nodes: Vec<Node>,
-    pub net: Net,
-    pub table: Fake,
+    pub net: NetworkFaults,
+    pub table: FakeTable,
     /// Injects a fault: routers install whatever the table returns, even an
     /// older revision.
     pub install_any: bool,
@@ -96,8 +96,12 @@
         let mut cluster = Self {
             now: Instant::from_millis(1_000_000),
             nodes: Vec::new(),
-            net: Net { delay: 1, side: vec![0; domains], ..Net::default() },
-            table: Fake::default(),
+            net: NetworkFaults {
+                delay: 1,
+                partition: vec![0; domains],
+                ..NetworkFaults::default()
+            },
+            table: FakeTable::default(),
             install_any: false,
             accepted_snapshots: BTreeMap::from([(0, Snapshot::default())]),
             highest: vec![0; nodes],
@@ -106,7 +110,7 @@
             queued: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
-        cluster.net.table_cut = vec![false; domains];
+        cluster.net.table_unreachable = vec![false; domains];
         for index in 0..nodes {
             let node = cluster.start(index, index % domains, seeds);
             cluster.nodes.push(node);
@@ -148,7 +152,7 @@
     /// Commits a change through a router and records the accepted revisions.
     pub fn commit(&mut self, index: usize, change: Change) -> Result<u64, Error> {
         let installed = self.nodes[index].replicator().store().state().clone();
-        if self.net.table_cut[self.nodes[index].domain] {
+        if self.net.table_unreachable[self.nodes[index].domain] {
             return Err(Error::Platform(mimosashift::platform::Refusal::Unavailable));
         }
         let result = call::run(&self.table, Commit::new(change, installed));
@@ -257,7 +261,7 @@
 
     fn poll(&mut self, index: usize, state: State) {
         let domain = self.nodes[index].domain;
-        let result = if self.net.table_cut[domain] {
+        let result = if self.net.table_unreachable[domain] {
             Err(Error::Platform(mimosashift::platform::Refusal::Unavailable))
         } else {
             call::run(&self.table, Poll::new(state))
@@ -305,7 +309,7 @@
                 return;
             }
             let (from, to, bytes) = entry.remove();
-            let sides = &self.net.side;
+            let sides = &self.net.partition;
             let partitioned = sides[self.nodes[from].domain] != sides[self.nodes[to].domain];
             if !partitioned && self.nodes[to].up && !self.nodes[to].paused {
                 self.receive(from, to, &bytes);
--- a/mimosashift/tests/fake/mod.rs
+++ b/mimosashift/tests/fake/mod.rs
@@ -25,7 +25,7 @@
 
 /// In-memory table service.
 #[derive(Default)]
-pub struct Fake(Mutex<Inner>);
+pub struct FakeTable(Mutex<Inner>);
 
 #[derive(Clone, Default)]
 pub struct Inner {
@@ -40,7 +40,7 @@
     pub stale: Option<Rows>,
 }
 
-impl Fake {
+impl FakeTable {
     pub fn with<T>(&self, f: impl FnOnce(&mut Inner) -> T) -> T {
         f(&mut self.0.lock().unwrap())
     }
@@ -83,7 +83,7 @@
     }
 }
 
-impl Table for Fake {
+impl Table for FakeTable {
     fn commit(&self, transaction: &Transaction) -> Outcome<u64> {
         self.with(|inner| {
             if inner.down {
--- a/mimosashift/tests/member.rs
+++ b/mimosashift/tests/member.rs
@@ -158,13 +158,13 @@
 fn domains_rejoin_after_partition_heals() {
     let mut cluster = Cluster::new(12, 3, 1);
     cluster.run(SETTLE).unwrap();
-    cluster.net.side = vec![0, 1, 1];
+    cluster.net.partition = vec![0, 1, 1];
     cluster.run(Duration::from_secs(15)).unwrap();
     let known_domains =
         |c: &Cluster| c.nodes[0].membership.in_force(c.now, &Report::default(), 0).len();
     cluster.run(Duration::from_secs(10)).unwrap();
     assert_eq!(known_domains(&cluster), 1, "summaries of partitioned domains have not expired");
-    cluster.net.side = vec![0; 3];
+    cluster.net.partition = vec![0; 3];
     cluster.run(Duration::from_secs(5)).unwrap();
     assert_eq!(known_domains(&cluster), 3);
 }
--- a/mimosashift/tests/spread.rs
+++ b/mimosashift/tests/spread.rs
@@ -41,12 +41,12 @@
 
 /// Injects one random fault; table and network faults can combine freely.
 fn inject_fault(cluster: &mut Cluster, rng: &mut Pcg64Mcg, backups: &mut Vec<fake::Rows>) {
-    let domains = cluster.net.side.len();
+    let domains = cluster.net.partition.len();
     let domain = rng.random_range(0..domains);
     let router = rng.random_range(0..cluster.nodes.len());
     match rng.random_range(0..9) {
-        0 => cluster.net.side[domain] = rng.random_range(0..2),
-        1 => cluster.net.table_cut[domain] = rng.random_bool(0.5),
+        0 => cluster.net.partition[domain] = rng.random_range(0..2),
+        1 => cluster.net.table_unreachable[domain] = rng.random_bool(0.5),
         2 => cluster.restart(router),
         3 => cluster.nodes[router].paused = rng.random_bool(0.5),
         4 => backups.push(cluster.table.rows()),
@@ -64,8 +64,8 @@
 }
 
 fn clear_faults(cluster: &mut Cluster) {
-    cluster.net.side.fill(0);
-    cluster.net.table_cut.fill(false);
+    cluster.net.partition.fill(0);
+    cluster.net.table_unreachable.fill(false);
     cluster.net.drop = 0.0;
     cluster.nodes.iter_mut().for_each(|node| node.paused = false);
     cluster.table.with(|inner| {
