--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -69,7 +69,7 @@
     digest.truncate();
     for (to, echo) in due {
         digest.echo = echo;
-        digest.stamp = clock::now();
+        digest.sent_at = clock::now();
         digest.sequence = state.peers.borrow_mut().next_sequence();
         let bytes = postcard::to_stdvec(&digest).expect("digest is serializable");
         state.peers.borrow_mut().record_size(bytes.len());
@@ -91,10 +91,10 @@
         zone: state.node().zone.clone(),
         incarnation: state.incarnation,
         sequence: 0,
-        stamp: now,
+        sent_at: now,
         echo: None,
         leaving: state.stopping.get(),
-        leads: state.holds_placement_lease.get(),
+        holds_placement_lease: state.holds_placement_lease.get(),
         config,
         store_age: state.last_store_answer.get().map(|at| now.since(at)),
         store_lost: state.store_lost.get(),
--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -129,7 +129,8 @@
         let state = self.state.clone();
         let now = clock::now();
         let held = self.lease.as_ref().is_some_and(|lease| lease.authorize(true, now).is_some());
-        let peer_leads = state.peers.borrow().alive(now).any(|peer| peer.digest.leads);
+        let peer_leads =
+            state.peers.borrow().alive(now).any(|peer| peer.digest.holds_placement_lease);
         if state.stopping.get() || (!held && peer_leads) {
             self.set_leader(held && !state.stopping.get());
             return;
--- a/mimosashift/src/peer/mod.rs
+++ b/mimosashift/src/peer/mod.rs
@@ -73,13 +73,13 @@
     /// Sequence number; increases with each digest.
     pub sequence: u64,
     /// Send time by the clock of the sender, which the receiver echoes.
-    pub stamp: Instant,
+    pub sent_at: Instant,
     /// Last timestamp received from the receiver of this digest.
     pub echo: Option<Instant>,
     /// Whether the sender is shutting down.
     pub leaving: bool,
     /// Whether the sender holds the placement lease.
-    pub leads: bool,
+    pub holds_placement_lease: bool,
     /// Configuration known to the sender.
     pub config: Option<Config>,
     /// Time since the sender last reached the store.
@@ -220,7 +220,7 @@
         for address in self.addresses.keys() {
             let peer = self.known.values().find(|peer| peer.address == *address);
             if all || peer.is_some_and(|peer| peer.digest.zone == self.zone) {
-                due.push((*address, peer.map(|peer| peer.digest.stamp)));
+                due.push((*address, peer.map(|peer| peer.digest.sent_at)));
             }
         }
         self.next = now + round_interval(due.len(), self.last_bytes);
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -211,10 +211,10 @@
         zone: "a".into(),
         incarnation,
         sequence,
-        stamp: at(0),
+        sent_at: at(0),
         echo: None,
         leaving: false,
-        leads: false,
+        holds_placement_lease: false,
         config: None,
         store_age: Some(Duration::ZERO),
         store_lost: false,
@@ -240,7 +240,7 @@
     assert_eq!(peers.due(at(0)), [(address(2), None)]);
     assert_eq!(peers.due(at(50)), [], "not before the interval is over");
     let mut heard = digest("r2", 1, 1);
-    heard.stamp = at(40);
+    heard.sent_at = at(40);
     heard.peers = vec![address(3)];
     assert_eq!(peers.on_digest(address(2), heard, at(60)), Event::Joined);
     assert!(peers.is_alive("r2", at(60)));
