--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -99,14 +99,15 @@
 /// configuration, so that its digests confirm it.
 fn reader_has_same_config(state: &RouterState, now: Instant) -> bool {
     let peers = state.peers.borrow();
-    let reader_config = peers.reader(&state.node().name, now).and_then(|peer| peer.digest.config);
+    let reader_config =
+        peers.store_reader(&state.node().name, now).and_then(|peer| peer.digest.config);
     reader_config.is_some_and(|reader_config| reader_config.revision == state.revision())
 }
 
 /// Whether that peer has recently read the same directory.
 fn reader_has_same_directory(state: &RouterState, now: Instant) -> bool {
     let peers = state.peers.borrow();
-    let Some(peer) = peers.reader(&state.node().name, now) else { return false };
+    let Some(peer) = peers.store_reader(&state.node().name, now) else { return false };
     let Some(seen) = peer.digest.directory else { return false };
     let age = seen.age + now.since(peer.last_digest_at);
     let same = seen.fingerprint == state.fleet.borrow().fingerprint();
--- a/mimosashift/src/peer/mod.rs
+++ b/mimosashift/src/peer/mod.rs
@@ -230,7 +230,7 @@
     /// The router in the own zone that reads the store on behalf of `node`: the
     /// first by name that is alive and reaches the store. `None` if `node` has
     /// to read the store itself.
-    pub fn reader(&self, node: &str, now: Instant) -> Option<&Peer> {
+    pub fn store_reader(&self, node: &str, now: Instant) -> Option<&Peer> {
         let reads = |peer: &&Peer| {
             let age = peer.store_age(now);
             peer.digest.zone == self.zone
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -279,7 +279,7 @@
     peers.on_digest(address(2), digest("r2", 1, 1), at(0));
     let far = Digest { zone: "b".into(), ..digest("r0", 1, 1) };
     peers.on_digest(address(4), far, at(0));
-    peers.reader(node, at(ms)).map(|peer| peer.digest.node.to_string())
+    peers.store_reader(node, at(ms)).map(|peer| peer.digest.node.to_string())
 }
 
 /// A leader that the store turns away is passed over, but only where another
