--- a/mimosafront/src/state.rs
+++ b/mimosafront/src/state.rs
@@ -8,13 +8,13 @@
 
 use mimosaplatform::store::Store;
 use mimosashift::admit::pressure::MemoryPressure;
+use mimosashift::connection_pool::{self, Pool};
 use mimosashift::deployment::{Deployment, Node};
 use mimosashift::emit;
 use mimosashift::event::{Event, Logger};
 use mimosashift::exchange::Report;
 use mimosashift::fleet::{Fleet, Member, Observation};
 use mimosashift::freshness::Freshness;
-use mimosashift::link::{self, Pool};
 use mimosashift::meter::Meter;
 use mimosashift::peer::Peers;
 use mimosashift::pipeline::retry::{Window, WindowLimits};
@@ -108,8 +108,10 @@
 impl RouterState {
     /// Creates the initial state.
     pub fn new(node: Node, log: Logger, meter: Meter) -> Rc<Self> {
-        let settings =
-            link::Settings { connect_timeout: CONNECT_TIMEOUT, unacked_timeout: UNACKED_TIMEOUT };
+        let settings = connection_pool::Settings {
+            connect_timeout: CONNECT_TIMEOUT,
+            unacked_timeout: UNACKED_TIMEOUT,
+        };
         let pool = Pool::new(settings);
         let store = Store::new(pool.clone(), node.store.address, STORE_TIMEOUT);
         let now = clock::now();
--- a/mimosashift/src/lib.rs
+++ b/mimosashift/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod admit;
 pub mod config;
+pub mod connection_pool;
 pub mod deployment;
 pub mod engine;
 pub mod event;
@@ -16,7 +17,6 @@
 pub mod health;
 pub mod http;
 pub mod layout;
-pub mod link;
 pub mod member;
 pub mod meter;
 pub mod node;
