--- a/mimosashift/src/member/mod.rs
+++ b/mimosashift/src/member/mod.rs
@@ -355,7 +355,7 @@
         self.members.values().filter(move |member| member.liveness(now) != Liveness::Leaving)
     }
 
-    /// DomainSummary of the own domain.
+    /// Summary of the own domain.
     fn summary(&self, now: Instant, report: &Report) -> DomainSummary {
         let local = self.alive(now).filter(|m| m.heartbeat.domain == self.own.domain);
         let mut revisions: Vec<_> = local.map(|m| m.heartbeat.version.revision).collect();
--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -309,8 +309,9 @@
                 return;
             }
             let (from, to, bytes) = entry.remove();
-            let sides = &self.net.partition;
-            let partitioned = sides[self.nodes[from].domain] != sides[self.nodes[to].domain];
+            let partitions = &self.net.partition;
+            let partitioned =
+                partitions[self.nodes[from].domain] != partitions[self.nodes[to].domain];
             if !partitioned && self.nodes[to].up && !self.nodes[to].paused {
                 self.receive(from, to, &bytes);
             }
