--- a/mimosashift/src/member/transport.rs
+++ b/mimosashift/src/member/transport.rs
@@ -66,7 +66,7 @@
 
 struct Shared {
     socket: UdpSocket,
-    ring: KeyRing,
+    key_ring: KeyRing,
     sender: Name,
     incarnation: AtomicU64,
     sequence: AtomicU64,
@@ -84,7 +84,7 @@
     /// be 0.
     pub fn bind(
         address: SocketAddr,
-        ring: KeyRing,
+        key_ring: KeyRing,
         sender: Name,
         incarnation: u64,
         handler: Box<Handler>,
@@ -95,7 +95,7 @@
         listener.set_nonblocking(true)?;
         let shared = Arc::new(Shared {
             socket,
-            ring,
+            key_ring,
             sender,
             incarnation: AtomicU64::new(incarnation),
             sequence: AtomicU64::new(0),
@@ -202,13 +202,13 @@
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
             message,
         };
-        let bytes = self.ring.seal(&frame, limit)?;
+        let bytes = self.key_ring.seal(&frame, limit)?;
         self.sent_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         Ok(bytes)
     }
 
     fn open(&self, bytes: &[u8], limit: usize) -> Result<Frame, Error> {
-        let frame = self.ring.open(bytes, limit)?;
+        let frame = self.key_ring.open(bytes, limit)?;
         let mut replay_filter = self.replay_filter.lock().unwrap_or_else(PoisonError::into_inner);
         if !replay_filter.accept(&frame.sender, frame.incarnation, frame.sequence) {
             return Err(Error::Replayed);
--- a/mimosashift/src/wire/message.rs
+++ b/mimosashift/src/wire/message.rs
@@ -114,8 +114,8 @@
 impl TryFrom<&EncodedReply> for Reply {
     type Error = Error;
 
-    fn try_from(bundle: &EncodedReply) -> Result<Self, Error> {
-        Ok(match bundle {
+    fn try_from(encoded: &EncodedReply) -> Result<Self, Error> {
+        Ok(match encoded {
             EncodedReply::Records(records) => Self::Records(decode::<Record>(records)?),
             EncodedReply::Chunk { version, resources, more } => {
                 let resources = decode::<Resource>(resources)?;
--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -49,7 +49,7 @@
     pub domain: usize,
     pub alarms: Vec<Error>,
     pub bytes: usize,
-    seen: ReplayFilter,
+    replay_filter: ReplayFilter,
     sequence: u64,
     rng: Pcg64Mcg,
 }
@@ -79,7 +79,7 @@
     /// Snapshot of every revision accepted by the table.
     pub accepted_snapshots: BTreeMap<u64, Snapshot>,
     highest: Vec<u64>,
-    ring: KeyRing,
+    key_ring: KeyRing,
     queue: BTreeMap<(Instant, u64), (usize, usize, Vec<u8>)>,
     queued: u64,
     rng: Pcg64Mcg,
@@ -105,7 +105,7 @@
             install_any: false,
             accepted_snapshots: BTreeMap::from([(0, Snapshot::default())]),
             highest: vec![0; nodes],
-            ring: KeyRing::new(Key::new(1, *b"0123456789abcdef").unwrap(), None),
+            key_ring: KeyRing::new(Key::new(1, *b"0123456789abcdef").unwrap(), None),
             queue: BTreeMap::new(),
             queued: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -136,7 +136,7 @@
             domain,
             alarms: Vec::new(),
             bytes: 0,
-            seen: ReplayFilter::default(),
+            replay_filter: ReplayFilter::default(),
             sequence: 0,
             rng,
         }
@@ -251,8 +251,8 @@
                     self.send(index, index_of(&peer), Message::Request(request), MAX_STREAM_BYTES);
                 }
                 Action::Push(peer, records) => {
-                    let bundle = EncodedReply::from(&Reply::Records(records));
-                    self.send(index, index_of(&peer), Message::Reply(bundle), MAX_STREAM_BYTES);
+                    let encoded = EncodedReply::from(&Reply::Records(records));
+                    self.send(index, index_of(&peer), Message::Reply(encoded), MAX_STREAM_BYTES);
                 }
                 Action::Alarm(error) => self.nodes[index].alarms.push(error),
             }
@@ -289,7 +289,7 @@
         let own = node.membership.identity();
         let (sender, incarnation) = (own.node.clone(), own.incarnation);
         let frame = Frame { sender, incarnation, sequence: node.sequence, message };
-        let bytes = self.ring.seal(&frame, limit).unwrap();
+        let bytes = self.key_ring.seal(&frame, limit).unwrap();
         node.bytes += HEADER_BYTES + bytes.len();
         if self.net.drop > 0.0 && self.rng.random_bool(self.net.drop) {
             return;
@@ -320,10 +320,10 @@
 
     fn receive(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.now;
-        let frame = self.ring.open(bytes, MAX_STREAM_BYTES).unwrap();
+        let frame = self.key_ring.open(bytes, MAX_STREAM_BYTES).unwrap();
         let node = &mut self.nodes[to];
         node.bytes += HEADER_BYTES + bytes.len();
-        if !node.seen.accept(&frame.sender, frame.incarnation, frame.sequence) {
+        if !node.replay_filter.accept(&frame.sender, frame.incarnation, frame.sequence) {
             return;
         }
         let peer = frame.sender;
@@ -332,11 +332,11 @@
                 node.membership.on_heartbeat(now, heartbeat);
             }
             Message::Request(request) => {
-                let bundle = EncodedReply::from(&node.replicator().answer(&request));
-                self.send(to, from, Message::Reply(bundle), MAX_STREAM_BYTES);
+                let encoded = EncodedReply::from(&node.replicator().answer(&request));
+                self.send(to, from, Message::Reply(encoded), MAX_STREAM_BYTES);
             }
-            Message::Reply(bundle) => {
-                let reply = Reply::try_from(&bundle).unwrap();
+            Message::Reply(encoded) => {
+                let reply = Reply::try_from(&encoded).unwrap();
                 let actions = node.replicator_mut().on_reply(now, &peer, reply);
                 self.act(to, actions);
             }
--- a/mimosashift/tests/member.rs
+++ b/mimosashift/tests/member.rs
@@ -197,14 +197,14 @@
     }
     let payloads = (0..600).map(|_| Payload { tag: 1, bytes: vec![0; 1] }).collect();
     let report = Report { payloads, polled: Some(Instant::ZERO), ..Report::default() };
-    let ring = KeyRing::new(Key::new(1, [0; 32]).unwrap(), None);
+    let key_ring = KeyRing::new(Key::new(1, [0; 32]).unwrap(), None);
     let sends = own.tick(at(1), &report, &mut rng);
     assert!(!sends.is_empty());
     for send in sends {
         let message = Message::Heartbeat(send.heartbeat);
         let sender = own.identity().node.clone();
         let frame = Frame { sender, incarnation: u64::MAX, sequence: u64::MAX, message };
-        ring.seal(&frame, MAX_DATAGRAM_BYTES).unwrap();
+        key_ring.seal(&frame, MAX_DATAGRAM_BYTES).unwrap();
     }
 }
 
--- a/mimosashift/tests/transport.rs
+++ b/mimosashift/tests/transport.rs
@@ -15,7 +15,7 @@
 /// Time limit for an expected event.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn ring(secret: u8) -> KeyRing {
+fn key_ring(secret: u8) -> KeyRing {
     KeyRing::new(Key::new(1, vec![secret; 32]).unwrap(), None)
 }
 
@@ -35,7 +35,7 @@
     loop {
         let address = free_address();
         let name = Name::try_from(name).unwrap();
-        let bound = Transport::bind(address, ring(1), name, 1, Box::new(handler.clone()));
+        let bound = Transport::bind(address, key_ring(1), name, 1, Box::new(handler.clone()));
         if let Ok(transport) = bound {
             return (transport, address, receiver);
         }
@@ -82,9 +82,9 @@
     let sender = Name::try_from("a").unwrap();
     let frame =
         |sequence| Frame { sender: sender.clone(), incarnation: 1, sequence, message: request() };
-    let forged = ring(2).seal(&frame(1), MAX_DATAGRAM_BYTES).unwrap();
-    let valid = ring(1).seal(&frame(2), MAX_DATAGRAM_BYTES).unwrap();
-    let last = ring(1).seal(&frame(3), MAX_DATAGRAM_BYTES).unwrap();
+    let forged = key_ring(2).seal(&frame(1), MAX_DATAGRAM_BYTES).unwrap();
+    let valid = key_ring(1).seal(&frame(2), MAX_DATAGRAM_BYTES).unwrap();
+    let last = key_ring(1).seal(&frame(3), MAX_DATAGRAM_BYTES).unwrap();
     for bytes in [&forged, &valid, &valid, &last] {
         socket.send_to(bytes, address).unwrap();
     }
--- a/mimosashift/tests/wire.rs
+++ b/mimosashift/tests/wire.rs
@@ -18,7 +18,7 @@
     Key::new(id, vec![id; 32]).unwrap()
 }
 
-fn ring(current: u8, previous: Option<u8>) -> KeyRing {
+fn key_ring(current: u8, previous: Option<u8>) -> KeyRing {
     KeyRing::new(key(current), previous.map(key))
 }
 
@@ -60,8 +60,8 @@
 #[test_case(reply(); "reply")]
 fn frame_round_trips(message: Message) {
     let frame = frame(message);
-    let bytes = ring(1, None).seal(&frame, MAX_DATAGRAM_BYTES).unwrap();
-    assert_eq!(ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES), Ok(frame));
+    let bytes = key_ring(1, None).seal(&frame, MAX_DATAGRAM_BYTES).unwrap();
+    assert_eq!(key_ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES), Ok(frame));
 }
 
 #[test_case(1, 2, Some(1), None; "previous key is accepted")]
@@ -69,13 +69,13 @@
 #[test_case(1, 2, None, Some(Error::Key(1)); "retired key is refused")]
 #[test_case(3, 2, Some(1), Some(Error::Key(3)); "unknown key is refused")]
 fn keys_rotate(signed: u8, current: u8, previous: Option<u8>, refused: Option<Error>) {
-    let bytes = ring(signed, None).seal(&frame(request()), MAX_DATAGRAM_BYTES).unwrap();
-    assert_eq!(ring(current, previous).open(&bytes, MAX_DATAGRAM_BYTES).err(), refused);
+    let bytes = key_ring(signed, None).seal(&frame(request()), MAX_DATAGRAM_BYTES).unwrap();
+    assert_eq!(key_ring(current, previous).open(&bytes, MAX_DATAGRAM_BYTES).err(), refused);
 }
 
 #[test]
 fn other_secret_under_the_same_id_is_refused() {
-    let bytes = ring(1, None).seal(&frame(request()), MAX_DATAGRAM_BYTES).unwrap();
+    let bytes = key_ring(1, None).seal(&frame(request()), MAX_DATAGRAM_BYTES).unwrap();
     let other = KeyRing::new(Key::new(1, vec![9; 32]).unwrap(), None);
     assert_eq!(other.open(&bytes, MAX_DATAGRAM_BYTES), Err(Error::Forged));
 }
@@ -84,9 +84,9 @@
 fn oversized_frames_are_refused_on_both_sides() {
     let oversized = frame(Message::Reply(EncodedReply::Records(vec!["x".repeat(2_000)])));
     let is_too_long = |result: Result<(), Error>| matches!(result, Err(Error::TooLong { .. }));
-    assert!(is_too_long(ring(1, None).seal(&oversized, MAX_DATAGRAM_BYTES).map(drop)));
-    let bytes = ring(1, None).seal(&oversized, MAX_STREAM_BYTES).unwrap();
-    assert!(is_too_long(ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES).map(drop)));
+    assert!(is_too_long(key_ring(1, None).seal(&oversized, MAX_DATAGRAM_BYTES).map(drop)));
+    let bytes = key_ring(1, None).seal(&oversized, MAX_STREAM_BYTES).unwrap();
+    assert!(is_too_long(key_ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES).map(drop)));
 }
 
 #[test]
@@ -98,8 +98,8 @@
 
 #[test]
 fn malformed_records_are_refused() {
-    let bundle = EncodedReply::Records(vec!["{}".to_owned()]);
-    assert_eq!(Reply::try_from(&bundle), Err(Error::Malformed));
+    let encoded = EncodedReply::Records(vec!["{}".to_owned()]);
+    assert_eq!(Reply::try_from(&encoded), Err(Error::Malformed));
 }
 
 #[test]
@@ -119,7 +119,7 @@
 
     #[test]
     fn random_bytes_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
-        prop_assert!(ring(1, Some(2)).open(&bytes, MAX_DATAGRAM_BYTES).is_err());
+        prop_assert!(key_ring(1, Some(2)).open(&bytes, MAX_DATAGRAM_BYTES).is_err());
     }
 
     /// Correctly signed random bytes reach the decoder, which must neither panic
@@ -127,25 +127,25 @@
     #[test]
     fn signed_random_bytes_are_handled(body in prop::collection::vec(any::<u8>(), 0..200)) {
         let bytes = sign(&body);
-        if let Ok(frame) = ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES) {
-            let reencoded = ring(1, None).seal(&frame, MAX_DATAGRAM_BYTES).unwrap();
+        if let Ok(frame) = key_ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES) {
+            let reencoded = key_ring(1, None).seal(&frame, MAX_DATAGRAM_BYTES).unwrap();
             prop_assert!(reencoded.len() <= bytes.len());
         }
     }
 
     #[test]
     fn truncated_frame_is_refused(cut in 1_usize..100) {
-        let bytes = ring(1, None).seal(&frame(heartbeat()), MAX_DATAGRAM_BYTES).unwrap();
+        let bytes = key_ring(1, None).seal(&frame(heartbeat()), MAX_DATAGRAM_BYTES).unwrap();
         let kept = &bytes[..bytes.len().saturating_sub(cut)];
-        prop_assert!(ring(1, None).open(kept, MAX_DATAGRAM_BYTES).is_err());
+        prop_assert!(key_ring(1, None).open(kept, MAX_DATAGRAM_BYTES).is_err());
     }
 
     #[test]
     fn flipped_bit_is_refused(bit in any::<prop::sample::Index>()) {
-        let mut bytes = ring(1, None).seal(&frame(heartbeat()), MAX_DATAGRAM_BYTES).unwrap();
+        let mut bytes = key_ring(1, None).seal(&frame(heartbeat()), MAX_DATAGRAM_BYTES).unwrap();
         let bit = bit.index(bytes.len() * 8);
         bytes[bit / 8] ^= 1 << (bit % 8);
-        prop_assert!(ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES).is_err());
+        prop_assert!(key_ring(1, None).open(&bytes, MAX_DATAGRAM_BYTES).is_err());
     }
 
     /// Compares the window with a set: a number within the window is accepted
