--- a/mimosabench/src/slopes/membership.rs
+++ b/mimosabench/src/slopes/membership.rs
@@ -9,7 +9,7 @@
 use mimosashift::resource::Name;
 use mimosashift::time::Instant;
 use mimosashift::wire::message::Payload;
-use mimosashift::wire::{Frame, Key, MAX_DATAGRAM_BYTES, Message, Ring, Seen};
+use mimosashift::wire::{Frame, Key, KeyRing, MAX_DATAGRAM_BYTES, Message, ReplayFilter};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -123,7 +123,7 @@
         .collect();
     let (mut alive, mut probes) = (0, 0);
     for node in &cluster.nodes {
-        let own = node.membership.own();
+        let own = node.membership.identity();
         let others = node.membership.alive(cluster.now).map(|member| &member.heartbeat);
         let mut known: Vec<_> =
             others.map(|h| Router { name: h.node.as_str(), domain: &h.domain }).collect();
@@ -150,9 +150,9 @@
     HEADER_BYTES + sealed.expect("a small message fits a datagram").len()
 }
 
-fn ring() -> Ring {
+fn ring() -> KeyRing {
     let key = Key::new(1, *b"0123456789abcdef").expect("the secret is long enough");
-    Ring::new(key, None)
+    KeyRing::new(key, None)
 }
 
 const fn domains_of(routers: usize) -> usize {
@@ -161,7 +161,7 @@
 
 struct Node {
     membership: Membership,
-    seen: Seen,
+    seen: ReplayFilter,
     sequence: u64,
     bytes: usize,
     messages: usize,
@@ -172,7 +172,7 @@
 struct Cluster {
     now: Instant,
     nodes: Vec<Node>,
-    ring: Ring,
+    ring: KeyRing,
     report: Report,
     in_flight: VecDeque<(usize, Vec<u8>)>,
 }
@@ -192,7 +192,7 @@
             };
             Node {
                 membership: Membership::new(own, &addresses),
-                seen: Seen::default(),
+                seen: ReplayFilter::default(),
                 sequence: 0,
                 bytes: 0,
                 messages: 0,
@@ -222,7 +222,7 @@
         let node = &mut self.nodes[index];
         for send in node.membership.tick(self.now, &self.report, &mut node.rng) {
             node.sequence += 1;
-            let own = node.membership.own();
+            let own = node.membership.identity();
             let frame = Frame {
                 sender: own.node.clone(),
                 incarnation: own.incarnation,
--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -14,7 +14,7 @@
 use mimosashift::layout::{self, Assignment, EndpointState};
 use mimosashift::meter::PlatformCall;
 use mimosashift::order::lease::{Lease, Settings, TABLE};
-use mimosashift::peer::STORE_LOST;
+use mimosashift::peer::STORE_LOST_AFTER;
 use mimosashift::platform::Outcome;
 use mimosashift::resource::{Layers, Name};
 use mimosashift::time::Instant;
@@ -121,7 +121,7 @@
     fn defers_to_peer(&self) -> bool {
         let now = clock::now();
         let last_answer = self.state.last_store_answer.get();
-        let is_stale = last_answer.is_none_or(|at| now.since(at) > STORE_LOST);
+        let is_stale = last_answer.is_none_or(|at| now.since(at) > STORE_LOST_AFTER);
         self.state.store_lost.get() && is_stale && self.state.peers.borrow().reaches_store(now)
     }
 
@@ -129,7 +129,8 @@
         let state = self.state.clone();
         let now = clock::now();
         let held = self.lease.as_ref().is_some_and(|lease| lease.authorize(true, now).is_some());
-        let peer_leads = state.peers.borrow().alive(now).any(|peer| peer.digest.leads);
+        let peer_leads =
+            state.peers.borrow().alive(now).any(|peer| peer.digest.holds_placement_lease);
         if state.stopping.get() || (!held && peer_leads) {
             self.set_leader(held && !state.stopping.get());
             return;
@@ -149,7 +150,7 @@
         let now = clock::now();
         let holder_is_inactive = lease.holder().is_some_and(|holder| {
             let peers = state.peers.borrow();
-            peers.is_dead(holder.as_str(), now) || peers.is_without_store(holder.as_str(), now)
+            peers.is_dead(holder.as_str(), now) || peers.has_lost_store(holder.as_str(), now)
         });
         let takeover = holder_is_inactive || lease.is_overdue(now);
         if let Some(transaction) = lease.write(takeover, now) {
--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -12,9 +12,9 @@
 use mimosashift::emit;
 use mimosashift::event::Event;
 use mimosashift::fleet::{Chain, Claim, Demand, Hop, Member, Query, Shortage};
-use mimosashift::link::{Exchange, Failure};
+use mimosashift::connection_pool::{Exchange, Failure};
 use mimosashift::meter::{Outcome, RefusalReason};
-use mimosashift::stream::Events;
+use mimosashift::event_stream::EventSplitter;
 use mimosashift::time::Instant;
 use smallvec::SmallVec;
 use tokio::sync::mpsc;
@@ -60,7 +60,7 @@
     engine: Arc<Engine>,
     demand: Demand,
     claim: Option<Claim>,
-    events: Events,
+    events: EventSplitter,
     /// Number of events forwarded.
     events_forwarded: usize,
     /// Timing of these events.
@@ -140,7 +140,7 @@
                 Demand { prompt: f64::from(tokens.prompt), output }
             }
         };
-        let events = Events::after(ctx.last_event);
+        let events = EventSplitter::after(ctx.last_event);
         Self {
             ctx,
             engine,
@@ -344,7 +344,7 @@
             }
             Err(Some(Failure::Lost { reason })) => {
                 self.state().mark_suspect(&first.id, &reason);
-                self.state().pool.forget(first.address);
+                self.state().pool.close_idle(first.address);
                 self.avoid.push(first);
                 self.may_have_run += 1;
                 Err("answer lost")
@@ -407,7 +407,7 @@
         let status = exchange.head.status();
         let info = header::response(exchange.head.headers());
         if !self.ctx.is_answered_by(&info, status) {
-            self.state().pool.forget(first.address);
+            self.state().pool.close_idle(first.address);
             self.may_have_run += 1;
             return Err("answer to another request");
         }
--- /dev/null
+++ b/mimosashift/src/event_stream.rs
@@ -0,0 +1,96 @@
+//! Splits a stream of server-sent events into complete events.
+//!
+//! Only complete events are forwarded, so that an interrupted stream can be
+//! resumed after the last one without gaps or duplicates.
+
+use std::mem;
+
+/// Maximum size of an incomplete event; more bytes without an event end are not
+/// an event stream.
+const MAX_EVENT_BYTES: usize = 1 << 20;
+
+/// Splits the bytes of a stream into events.
+#[derive(Debug, Default)]
+pub struct EventSplitter {
+    partial: Vec<u8>,
+    last: Option<u64>,
+}
+
+/// Complete events to forward.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct CompleteEvents {
+    /// Concatenated bytes of the events.
+    pub bytes: Vec<u8>,
+    /// Number of events.
+    pub count: usize,
+}
+
+/// An incomplete event exceeds [`MAX_EVENT_BYTES`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EventTooLong;
+
+impl EventSplitter {
+    /// Resumes a stream of which the client has the events up to id `last`.
+    pub const fn after(last: Option<u64>) -> Self {
+        Self { partial: Vec::new(), last }
+    }
+
+    /// Id of the last event forwarded.
+    pub const fn last(&self) -> Option<u64> {
+        self.last
+    }
+
+    /// Discards the incomplete event of an interrupted stream before it is
+    /// resumed.
+    pub fn discard_partial(&mut self) {
+        self.partial.clear();
+    }
+
+    /// Whether bytes of an incomplete event are buffered.
+    pub const fn is_partial(&self) -> bool {
+        !self.partial.is_empty()
+    }
+
+    /// Appends bytes and returns the events that they complete, without those
+    /// already forwarded.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<CompleteEvents, EventTooLong> {
+        self.partial.extend_from_slice(bytes);
+        let mut complete = CompleteEvents::default();
+        let mut from = 0;
+        while let Some(length) = event_length(&self.partial[from..]) {
+            let event = &self.partial[from..from + length];
+            let id = event_id(event);
+            let duplicate = id.is_some() && id <= self.last;
+            if !duplicate {
+                complete.bytes.extend_from_slice(event);
+                complete.count += 1;
+                self.last = id.or(self.last);
+            }
+            from += length;
+        }
+        self.partial.drain(..from);
+        if self.partial.len() > MAX_EVENT_BYTES {
+            return Err(EventTooLong);
+        }
+        Ok(complete)
+    }
+
+    /// Takes the bytes after the last complete event, at the end of a stream.
+    pub fn take_partial(&mut self) -> Vec<u8> {
+        mem::take(&mut self.partial)
+    }
+}
+
+/// Length of the first event, including the empty line that ends it.
+fn event_length(bytes: &[u8]) -> Option<usize> {
+    let terminators = [b"\n\n".as_slice(), b"\r\n\r\n".as_slice()];
+    let end = |end: &[u8]| {
+        bytes.windows(end.len()).position(|window| window == end).map(|at| at + end.len())
+    };
+    terminators.into_iter().filter_map(end).min()
+}
+
+fn event_id(event: &[u8]) -> Option<u64> {
+    let text = std::str::from_utf8(event).ok()?;
+    text.lines().find_map(|line| line.strip_prefix("id:")).and_then(|id| id.trim().parse().ok())
+}
--- a/mimosashift/src/lib.rs
+++ b/mimosashift/src/lib.rs
@@ -7,16 +7,17 @@
 
 pub mod admit;
 pub mod config;
+pub mod connection_pool;
 pub mod deployment;
 pub mod engine;
 pub mod event;
+pub mod event_stream;
 pub mod exchange;
 pub mod fleet;
 pub mod freshness;
 pub mod health;
 pub mod http;
 pub mod layout;
-pub mod link;
 pub mod member;
 pub mod meter;
 pub mod node;
@@ -28,6 +29,5 @@
 pub mod resource;
 pub mod route;
 pub mod settings;
-pub mod stream;
 pub mod time;
 pub mod wire;
--- a/mimosashift/src/node/cluster/mod.rs
+++ b/mimosashift/src/node/cluster/mod.rs
@@ -27,8 +27,8 @@
 use crate::member::{self, Identity, InForce, Liveness, Member, Membership};
 use crate::resource::Name;
 use crate::time::Instant;
-use crate::wire::message::Bundle;
-use crate::wire::{Frame, Key, Message, Ring};
+use crate::wire::message::EncodedReply;
+use crate::wire::{Frame, Key, KeyRing, Message};
 
 mod life;
 mod report;
@@ -133,7 +133,7 @@
     /// Calls `act` with the live routers, this one included.
     pub fn with_routers<T>(&self, now: Instant, act: impl FnOnce(&[Router<'_>]) -> T) -> T {
         let shared = self.lock();
-        let own = shared.membership.own();
+        let own = shared.membership.identity();
         let alive = shared.membership.alive(now).map(|member| &member.heartbeat);
         let mut routers: Vec<Router<'_>> =
             alive.map(|h| Router { name: h.node.as_str(), domain: &h.domain }).collect();
@@ -201,7 +201,7 @@
         let report = shared.report(payloads);
         let Shared { membership, rng, .. } = &mut *shared;
         let sends = membership.tick(now, &report, rng);
-        let incarnation = membership.own().incarnation;
+        let incarnation = membership.identity().incarnation;
         self.note_liveness(&mut shared, now);
         let demand = self.demand(&mut shared, now);
         let routers = shared.membership.alive(now).count() + 1;
@@ -276,7 +276,7 @@
         let Some(ring) = ring(&peer.keys) else { return Ok(()) };
         let node = Arc::downgrade(self);
         let handler = move |frame| node.upgrade()?.take_frame(frame);
-        let own = self.cluster.lock().membership.own().clone();
+        let own = self.cluster.lock().membership.identity().clone();
         let transport =
             Transport::bind(peer.address, ring, own.node, own.incarnation, Box::new(handler))
                 .map_err(|error| Error::Listen {
@@ -303,7 +303,7 @@
             Message::Heartbeat(_) => None,
             Message::Request(request) => {
                 let reply = self.cluster.lock().life.replicator().answer(&request);
-                Some(Message::Reply(Bundle::from(&reply)))
+                Some(Message::Reply(EncodedReply::from(&reply)))
             }
             Message::Reply(bundle) => {
                 self.take_reply(&frame.sender, &bundle);
@@ -316,7 +316,7 @@
         }
     }
 
-    fn take_reply(&self, peer: &Name, bundle: &Bundle) {
+    fn take_reply(&self, peer: &Name, bundle: &EncodedReply) {
         // A peer that sends what cannot be read is asked again later.
         let Ok(reply) = Reply::try_from(bundle) else { return };
         let now = self.clock.now();
@@ -392,7 +392,7 @@
             }
             Exchange::Push(peer, records) => {
                 let Some(address) = self.peer_address(&peer) else { return };
-                let message = Message::Reply(Bundle::from(&Reply::Records(records)));
+                let message = Message::Reply(EncodedReply::from(&Reply::Records(records)));
                 // Too long for a datagram, or else pulled after a heartbeat.
                 if transport.send(address, message.clone()).is_err() {
                     let _ = transport.request(address, message);
@@ -430,11 +430,11 @@
 }
 
 /// The first key signs; the second is accepted as well.
-fn ring(keys: &[crate::settings::Key]) -> Option<Ring> {
+fn ring(keys: &[crate::settings::Key]) -> Option<KeyRing> {
     let mut keys = keys.iter().map(|key| {
         Key::new(key.id, key.secret).expect("a checked key is longer than the least secret")
     });
-    Some(Ring::new(keys.next()?, keys.next()))
+    Some(KeyRing::new(keys.next()?, keys.next()))
 }
 
 fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), Error> {
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -9,7 +9,7 @@
 use mimosashift::freshness::{Freshness, PeerConfirmation};
 use mimosashift::peer::{Config, Digest, Event, Peers};
 use mimosashift::pipeline::retry::{Window, WindowLimits};
-use mimosashift::stream::Events;
+use mimosashift::event_stream::EventSplitter;
 use mimosashift::time::Instant;
 use proptest::prelude::*;
 use test_case::test_case;
@@ -118,12 +118,12 @@
 
 #[test]
 fn events_are_forwarded_complete_and_once() {
-    let mut events = Events::after(None);
+    let mut events = EventSplitter::after(None);
     let stream: String = (1..=3).map(event).collect();
     let cut = stream.len() - 5;
     let first = events.push(&stream.as_bytes()[..cut]).unwrap();
     assert_eq!((first.count, events.last()), (2, Some(2)));
-    events.restart();
+    events.discard_partial();
     // The next endpoint repeats an event and continues.
     let resumed: String = (2..=4).map(event).collect();
     let next = events.push(resumed.as_bytes()).unwrap();
@@ -133,7 +133,7 @@
 
 #[test]
 fn events_that_the_client_has_received_are_dropped() {
-    let mut events = Events::after(Some(2));
+    let mut events = EventSplitter::after(Some(2));
     let stream: String = (1..=3).map(event).collect();
     assert_eq!(events.push(stream.as_bytes()).unwrap().bytes, event(3).into_bytes());
 }
@@ -148,16 +148,16 @@
         total in 1..40_u64,
         interruptions in prop::collection::vec((0..600_usize, 1..50_usize), 0..4),
     ) {
-        let mut events = Events::after(None);
+        let mut events = EventSplitter::after(None);
         let mut received = Vec::new();
-        let mut feed = |events: &mut Events, end: Option<usize>, chunk_size: usize| {
+        let mut feed = |events: &mut EventSplitter, end: Option<usize>, chunk_size: usize| {
             let from = events.last().map_or(1, |last| last + 1);
             let rest: String = (from..=total).map(event).collect();
             let end = end.unwrap_or(rest.len()).min(rest.len());
             for chunk in rest.as_bytes()[..end].chunks(chunk_size) {
                 received.extend(events.push(chunk).unwrap().bytes);
             }
-            events.restart();
+            events.discard_partial();
         };
         for (end, chunk_size) in interruptions {
             feed(&mut events, Some(end), chunk_size);
@@ -211,10 +211,10 @@
         zone: "a".into(),
         incarnation,
         sequence,
-        stamp: at(0),
+        sent_at: at(0),
         echo: None,
         leaving: false,
-        leads: false,
+        holds_placement_lease: false,
         config: None,
         store_age: Some(Duration::ZERO),
         store_lost: false,
@@ -240,9 +240,9 @@
     assert_eq!(peers.due(at(0)), [(address(2), None)]);
     assert_eq!(peers.due(at(50)), [], "not before the interval is over");
     let mut received = digest("r2", 1, 1);
-    received.stamp = at(40);
+    received.sent_at = at(40);
     received.peers = vec![address(3)];
-    assert_eq!(peers.hear(address(2), received, at(60)), Event::Joined);
+    assert_eq!(peers.on_digest(address(2), received, at(60)), Event::Joined);
     assert!(peers.is_alive("r2", at(60)));
     // The peer's stamp is echoed to it, and the peers that it lists are contacted.
     let due: Vec<_> = (0..4).flat_map(|n| peers.due(at(500 + n * 400))).collect();
@@ -253,21 +253,21 @@
 #[test]
 fn outdated_digests_are_ignored() {
     let mut peers = peers();
-    assert_eq!(peers.hear(address(2), digest("r2", 2, 5), at(0)), Event::Joined);
-    assert_eq!(peers.hear(address(2), digest("r2", 2, 4), at(1)), Event::Outdated);
-    assert_eq!(peers.hear(address(2), digest("r2", 1, 9), at(2)), Event::Outdated);
-    assert_eq!(peers.hear(address(2), digest("r2", 2, 6), at(3)), Event::Renewed);
-    assert_eq!(peers.hear(address(2), digest("r2", 3, 1), at(4)), Event::Joined);
+    assert_eq!(peers.on_digest(address(2), digest("r2", 2, 5), at(0)), Event::Joined);
+    assert_eq!(peers.on_digest(address(2), digest("r2", 2, 4), at(1)), Event::Outdated);
+    assert_eq!(peers.on_digest(address(2), digest("r2", 1, 9), at(2)), Event::Outdated);
+    assert_eq!(peers.on_digest(address(2), digest("r2", 2, 6), at(3)), Event::Renewed);
+    assert_eq!(peers.on_digest(address(2), digest("r2", 3, 1), at(4)), Event::Joined);
 }
 
 #[test]
 fn silent_and_leaving_peers_are_not_alive() {
     let mut peers = peers();
-    peers.hear(address(2), digest("r2", 1, 1), at(0));
+    peers.on_digest(address(2), digest("r2", 1, 1), at(0));
     assert!(peers.is_alive("r2", at(1_400)));
     assert!(peers.is_dead("r2", at(1_600)));
     let leaving = Digest { leaving: true, ..digest("r2", 1, 2) };
-    peers.hear(address(2), leaving, at(1_700));
+    peers.on_digest(address(2), leaving, at(1_700));
     assert!(!peers.is_alive("r2", at(1_700)));
 }
 
@@ -276,10 +276,10 @@
 #[test_case("r3", 800 => None; "not on a router that stopped responding")]
 fn one_router_of_a_zone_reads_the_store(node: &str, ms: u64) -> Option<String> {
     let mut peers = peers();
-    peers.hear(address(2), digest("r2", 1, 1), at(0));
+    peers.on_digest(address(2), digest("r2", 1, 1), at(0));
     let far = Digest { zone: "b".into(), ..digest("r0", 1, 1) };
-    peers.hear(address(4), far, at(0));
-    peers.reader(node, at(ms)).map(|peer| peer.digest.node.to_string())
+    peers.on_digest(address(4), far, at(0));
+    peers.store_reader(node, at(ms)).map(|peer| peer.digest.node.to_string())
 }
 
 /// A leader that the store rejects is skipped, but only if another router can
@@ -292,20 +292,20 @@
     let mut peers = peers();
     let store_age = Some(Duration::from_millis(age_ms));
     let leader = Digest { store_lost: lost, store_age, ..digest("r2", 1, 1) };
-    peers.hear(address(2), leader, at(0));
+    peers.on_digest(address(2), leader, at(0));
     let store_age = other.then_some(Duration::ZERO);
-    peers.hear(address(4), Digest { store_age, ..digest("r4", 1, 1) }, at(0));
-    peers.is_without_store("r2", at(10))
+    peers.on_digest(address(4), Digest { store_age, ..digest("r4", 1, 1) }, at(0));
+    peers.has_lost_store("r2", at(10))
 }
 
 #[test]
 fn confirmation_needs_an_echo() {
     let config = Some(Config { revision: 7, age: Some(S) });
     let mut digest = Digest { config, ..digest("r2", 1, 1) };
-    assert_eq!(digest.relayed(), None);
+    assert_eq!(digest.confirmation(), None);
     digest.echo = Some(at(500));
     assert_eq!(
-        digest.relayed(),
+        digest.confirmation(),
         Some(PeerConfirmation { request_sent: at(500), revision: 7, age: S })
     );
 }
