--- a/mimosafront/src/relay/model/forward.rs
+++ b/mimosafront/src/relay/model/forward.rs
@@ -4,10 +4,10 @@
 
 use hyper::StatusCode;
 use hyper::body::Bytes;
+use mimosashift::connection_pool::Exchange;
 use mimosashift::deployment::RouteKind;
 use mimosashift::emit;
 use mimosashift::event::Event;
-use mimosashift::connection_pool::Exchange;
 use mimosashift::meter::{Outcome, Recovery};
 use tokio::sync::mpsc;
 
--- a/mimosafront/src/state.rs
+++ b/mimosafront/src/state.rs
@@ -8,13 +8,13 @@
 
 use mimosaplatform::store::Store;
 use mimosashift::admit::pressure::MemoryPressure;
+use mimosashift::connection_pool::{self, Pool};
 use mimosashift::deployment::{Deployment, Node};
 use mimosashift::emit;
 use mimosashift::event::{Event, Logger};
 use mimosashift::exchange::Report;
 use mimosashift::fleet::{Fleet, Member, Observation};
 use mimosashift::freshness::Freshness;
-use mimosashift::connection_pool::{self, Pool};
 use mimosashift::meter::Meter;
 use mimosashift::peer::Peers;
 use mimosashift::pipeline::retry::{Window, WindowLimits};
--- a/mimosashift/tests/front.rs
+++ b/mimosashift/tests/front.rs
@@ -6,10 +6,10 @@
 
 use mimosashift::admit::pressure::{MAX_WAIT, MemoryPressure};
 use mimosashift::deployment::{Denied, Deployment, Limits, Route, RouteKind, Service, Team};
+use mimosashift::event_stream::EventSplitter;
 use mimosashift::freshness::{Freshness, PeerConfirmation};
 use mimosashift::peer::{Config, Digest, Event, Peers};
 use mimosashift::pipeline::retry::{Window, WindowLimits};
-use mimosashift::event_stream::EventSplitter;
 use mimosashift::time::Instant;
 use proptest::prelude::*;
 use test_case::test_case;
