--- a/mimosashift/src/fleet/chain.rs
+++ b/mimosashift/src/fleet/chain.rs
@@ -16,25 +16,24 @@
 use crate::time::Instant;
 
 /// Share of an endpoint's KV cache that admitted requests may be expected to use;
-/// the rest is headroom for requests that write more tokens than expected.
+/// the rest is headroom for requests that generate more tokens than expected.
 const USABLE_CACHE_SHARE: f64 = 0.95;
 
-/// Copies of the model in a zone from which most of its layers have more than one
-/// holder.
-const MIN_SPREAD_COPIES: f64 = 1.6;
+/// Number of copies of the model in a zone from which a higher fill level adds to the
+/// cost; most layers then have more than one holder.
+const MIN_COPIES_FOR_FILL_PENALTY: f64 = 1.6;
 
 /// Longest chain that engines accept, in hops.
 const MAX_HOPS: usize = 32;
 
-/// Cost of a chain that begins in another zone, in ms; a fraction of the cost of a
-/// chain. Without it all routers would choose the zone that seems least loaded in
-/// digests that are some hundred milliseconds old.
+/// Cost of a chain that begins in another zone, in ms. Without it all routers would
+/// choose the zone with the lowest load in their digests, which are some hundred
+/// milliseconds old.
 const REMOTE_ENTRY_MS: f64 = 500.0;
 
-/// Weight of the transfer time between zones relative to time at an endpoint. It
-/// is high because all chains share the link between zones, which saturates before
-/// the endpoints do, and because a chain over two zones fails when either becomes
-/// unreachable.
+/// Weight of the transfer time between zones relative to time at an endpoint. All
+/// chains share the link between zones, which saturates before the endpoints do, and a
+/// chain over two zones fails when either becomes unreachable.
 const CROSS_ZONE_WEIGHT: f64 = 150.0;
 
 /// Upper bound on the fill level of the KV cache in the cost of an endpoint.
@@ -71,7 +70,8 @@
 pub enum Shortage {
     /// No usable endpoint holds this layer.
     Uncovered(u16),
-    /// The endpoints that hold this layer have no free memory or slot.
+    /// The endpoints that hold this layer have no free memory or slot. Also returned,
+    /// with layer 0, if the cheapest chain has more than `MAX_HOPS` hops.
     Full(u16),
 }
 
@@ -91,9 +91,10 @@
     has_slot: bool,
 }
 
-/// Raises the cost of full endpoints in zones that hold most layers more than once,
-/// so that requests go to the other holders before a KV cache overflows. Without
-/// other holders it would only push chains into other zones.
+/// Raises the cost of endpoints with the fill level of their KV cache, in zones that
+/// hold most layers more than once, so that requests go to the other holders before a
+/// cache overflows. Without other holders, a higher cost would only move chains to
+/// other zones.
 fn penalize_fill(candidates: &mut [Candidate<'_>], engine: &Engine) {
     let mut held: HashMap<Arc<str>, u32> = HashMap::new();
     for candidate in candidates.iter() {
@@ -102,7 +103,7 @@
     }
     for candidate in candidates {
         let copies = f64::from(held[&candidate.member.endpoint.zone]) / f64::from(engine.layers);
-        if copies >= MIN_SPREAD_COPIES {
+        if copies >= MIN_COPIES_FOR_FILL_PENALTY {
             candidate.layer_ms /= 1.0 - candidate.fill;
         }
     }
@@ -169,19 +170,21 @@
         let is_cache_full = now < member.cache_full_until;
         let usable = if is_cache_full { 0.0 } else { capacity * USABLE_CACHE_SHARE };
         let free = (usable - f64::from(usage.cache)).max(0.0);
-        let read_ms = card.prefill_factor / engine.prefill_tokens_per_ms * member.pace;
+        let prefill_ms_per_token = card.prefill_factor / engine.prefill_tokens_per_ms * member.pace;
         let step_ms = engine.step_ms * card.decode_factor * member.pace;
-        let work_ms = demand.prompt * read_ms + demand.output * step_ms;
-        let pass_ms =
+        let work_ms = demand.prompt * prefill_ms_per_token + demand.output * step_ms;
+        let iteration_ms =
             f64::from(engine.tokens_per_event) * step_ms * f64::from(layers.count()) / layer_count;
-        let passes = demand.output / f64::from(engine.tokens_per_event);
+        let iterations = demand.output / f64::from(engine.tokens_per_event);
         Some(Self {
             member,
             layers,
             fill,
             layer_ms: work_ms / layer_count / (1.0 - fill),
-            // On average a request waits for half a pass.
-            hop_ms: passes * pass_ms / 2.0 + f64::from(usage.prefill) * read_ms / layer_count,
+            // On average a request waits for half an iteration, in which the endpoint
+            // generates one event's tokens.
+            hop_ms: iterations * iteration_ms / 2.0
+                + f64::from(usage.prefill) * prefill_ms_per_token / layer_count,
             free_layers: (free / demand.tokens().max(1.0)).min(layer_count) as u16,
             has_slot: usage.requests < engine.slots,
         })
@@ -226,13 +229,15 @@
             }
             self.table.push(paths);
         }
-        self.chain()
+        self.build_chain()
     }
 
-    /// Enters the kept first hop into the table.
+    /// Adds the kept first hop to the table as the only path to each of its layers, at no
+    /// cost.
     fn keep_first(&mut self, hop: &Hop) {
         let position = self.candidates.iter().position(|c| c.member.endpoint.id == hop.id);
-        // A first hop that is no longer a candidate still runs the request.
+        // A first hop that is no longer a candidate still runs the request; `u16::MAX`,
+        // which is not the index of a candidate, stands for it.
         let index = position.map_or(u16::MAX, |position| position as u16);
         for _ in 0..hop.layers.end() {
             let best = Path { cost: 0.0, start: 0, previous: None };
@@ -281,7 +286,9 @@
                 Path { cost, start: layer, previous: Some(*previous) }
             };
             let is_cheaper = best.as_ref().is_none_or(|best| next.cost < best.cost);
-            if is_cheaper && (*previous == index || !self.passes(layer - 1, *previous, index)) {
+            if is_cheaper
+                && (*previous == index || !self.path_includes(layer - 1, *previous, index))
+            {
                 best = Some(next);
             }
         }
@@ -289,7 +296,7 @@
     }
 
     /// Whether the cheapest path to (`layer`, `at`) passes through `index`.
-    fn passes(&self, layer: u16, at: u16, index: u16) -> bool {
+    fn path_includes(&self, layer: u16, at: u16, index: u16) -> bool {
         let (mut layer, mut at) = (layer, at);
         loop {
             if at == index {
@@ -331,7 +338,7 @@
             + self.query.demand.output * self.query.engine.delay_ms(from, to)
     }
 
-    fn chain(&self) -> Result<Chain, Shortage> {
+    fn build_chain(&self) -> Result<Chain, Shortage> {
         let last = self.query.engine.layers - 1;
         let paths = &self.table[usize::from(last)];
         let cheapest = paths.iter().min_by(|a, b| a.1.cost.total_cmp(&b.1.cost));
--- a/mimosashift/src/fleet/claim.rs
+++ b/mimosashift/src/fleet/claim.rs
@@ -12,10 +12,13 @@
 pub struct Claim {
     /// The chain.
     pub chain: Chain,
+    /// Tokens for which it uses KV cache in each layer.
     tokens: f32,
+    /// Tokens of the prompt.
     prompt: f32,
     /// For each hop, whether its prefill is pending.
     prefill: SmallVec<[bool; 12]>,
+    /// Whether its first event has arrived.
     started: bool,
 }
 
@@ -40,11 +43,11 @@
         }
     }
 
-    /// Raises a claim whose request has written more tokens than expected.
-    pub fn grow(&mut self, claim: &mut Claim, written: f32) {
-        if claim.prompt + written > claim.tokens + MIN_GROWTH_TOKENS {
+    /// Raises a claim whose request has generated more tokens than expected.
+    pub fn grow(&mut self, claim: &mut Claim, generated: f32) {
+        if claim.prompt + generated > claim.tokens + MIN_GROWTH_TOKENS {
             self.account(claim, false);
-            claim.tokens = claim.prompt + written;
+            claim.tokens = claim.prompt + generated;
             self.account(claim, true);
         }
     }
--- a/mimosashift/src/fleet/describe.rs
+++ b/mimosashift/src/fleet/describe.rs
@@ -7,8 +7,9 @@
 
 impl Fleet {
     /// Every endpoint that holds a layer, with the share of its KV cache in use and
-    /// the reason why it gets no new work, as in `i-1 0.97, i-2 0.40 doubted`. The
-    /// words `doubted` and `crowded` match the titles of the events.
+    /// its state if it is not preferred for new work, as in `i-1 0.97, i-2 0.40 doubted`.
+    /// `doubted` (ejected) and `crowded` (cache full) are the words in the titles of the
+    /// events. An endpoint that is marked dead has no state of its own here.
     pub fn describe_holders(&self, query: &Query<'_>, layer: u16, now: Instant) -> String {
         let holds = |member: &&Member| {
             let layers = member.endpoint.layers;
--- a/mimosashift/src/fleet/liveness.rs
+++ b/mimosashift/src/fleet/liveness.rs
@@ -1,4 +1,4 @@
-//! Liveness of endpoints: progress, failures, silence.
+//! Tracks the liveness of endpoints from stream progress, failures and missing events.
 
 use std::time::Duration;
 
@@ -15,34 +15,34 @@
 const MAX_EJECTION: Duration = Duration::from_secs(3);
 
 /// Time without progress after which an endpoint in use counts as silent; a
-/// stream normally has several events in this time.
+/// stream normally has at least one event in this time.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Time for which an endpoint that refused a request for lack of memory gets no
 /// new work; some of its streams end in the meantime.
-const INITIAL_CACHE_FULL: Duration = Duration::from_millis(100);
+const INITIAL_CACHE_FULL_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest such time, reached when the endpoint keeps refusing. Streams last
-/// seconds, so a good part of the memory is free by then.
-const MAX_CACHE_FULL: Duration = Duration::from_millis(1_600);
+/// Longest pause after repeated refusals for lack of memory. Streams last seconds, so
+/// several of them have ended by then.
+const MAX_CACHE_FULL_PAUSE: Duration = Duration::from_millis(1_600);
 
 /// Smallest number of endpoints of a zone that must be ejected at the same time
 /// before the whole zone is.
-const MIN_EJECTED: usize = 3;
+const ZONE_EJECTION_MIN_ENDPOINTS: usize = 3;
 
 /// One in this many endpoints of a zone must be ejected before the whole zone is.
-const EJECTED_DIVISOR: usize = 4;
+const ZONE_EJECTION_DIVISOR: usize = 4;
 
 /// Ejection time of a zone.
 const ZONE_EJECTION: Duration = Duration::from_secs(1);
 
 /// Weight of the latest answer in an endpoint's failure rate (an exponentially
 /// weighted average).
-const FAILURE_GAIN: f64 = 0.2;
+const FAILURE_RATE_WEIGHT: f64 = 0.2;
 
 /// Streams that must pass through an endpoint before its silence alone makes it
 /// count as stalled.
-const MIN_ACTIVE_STREAMS: u32 = 3;
+const STALL_MIN_STREAMS: u32 = 3;
 
 /// Assumed time between two events before any was measured.
 const INITIAL_INTERVAL: Duration = Duration::from_millis(80);
@@ -51,20 +51,20 @@
 const MAX_NORMAL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Weight of the latest interval in the average, which thus covers about a
-/// hundred events, a few seconds on a busy router.
-const INTERVAL_GAIN: f64 = 0.01;
+/// hundred events.
+const INTERVAL_WEIGHT: f64 = 0.01;
 
-/// Silence of an endpoint in use after which it is asked for a report, in average
-/// intervals. It is short because streams on the same chain advance together.
-const STALLED_INTERVALS: f64 = 1.5;
+/// Stall timeout of an endpoint, in average event intervals. Streams on the same chain
+/// advance together, so that a short timeout suffices.
+const STALL_TIMEOUT_INTERVALS: f64 = 1.5;
 
-/// Time for which an endpoint must be dead before its layers are placed
-/// elsewhere; long enough for at least two failed probes.
-const LOST_AFTER: Duration = Duration::from_millis(600);
+/// Time for which an endpoint must be dead before its layers are assigned to others.
+/// It exceeds the first ejection, after which the endpoint is probed again.
+const REASSIGN_AFTER: Duration = Duration::from_millis(600);
 
 /// If one in this many endpoints of a zone is dead at once, the zone counts as
 /// partitioned from this router.
-const PARTITION_DIVISOR: usize = 3;
+const PARTITION_DEAD_DIVISOR: usize = 3;
 
 /// Average time between two events of a stream, in seconds.
 #[derive(Clone, Copy, Debug)]
@@ -79,13 +79,13 @@
 impl EventInterval {
     fn add(&mut self, interval: Duration) {
         if interval <= MAX_NORMAL_INTERVAL {
-            self.0 += INTERVAL_GAIN * (interval.as_secs_f64() - self.0);
+            self.0 += INTERVAL_WEIGHT * (interval.as_secs_f64() - self.0);
         }
     }
 
     /// Silence after which an endpoint counts as stalled.
     fn stall_timeout(self) -> Duration {
-        Duration::from_secs_f64(self.0 * STALLED_INTERVALS)
+        Duration::from_secs_f64(self.0 * STALL_TIMEOUT_INTERVALS)
     }
 }
 
@@ -110,7 +110,7 @@
     pub fn stalled(&self, now: Instant) -> SmallVec<[Hop; 4]> {
         let timeout = self.mean_interval.stall_timeout();
         let stalled = |m: &&Member| {
-            m.active_streams >= MIN_ACTIVE_STREAMS
+            m.active_streams >= STALL_MIN_STREAMS
                 && now.since(m.last_progress) >= timeout
                 && m.dead_since.is_none()
         };
@@ -156,10 +156,10 @@
     }
 
     /// Whether an endpoint has been dead for so long that its layers are to be
-    /// placed elsewhere. If a large part of a zone is dead at once, the network is
+    /// assigned to others. If a large part of a zone is dead at once, the network is
     /// probably partitioned and the endpoints are probably healthy.
     pub fn is_lost(&self, member: &Member, now: Instant) -> bool {
-        let lost = member.dead_since.is_some_and(|since| now.since(since) >= LOST_AFTER);
+        let lost = member.dead_since.is_some_and(|since| now.since(since) >= REASSIGN_AFTER);
         let same_zone = |m: &&Member| {
             m.endpoint.zone == member.endpoint.zone && m.endpoint.service == member.endpoint.service
         };
@@ -167,10 +167,10 @@
             self.members.values().filter(same_zone).fold((0, 0), |(total, dead), m| {
                 (total + 1, dead + usize::from(m.dead_since.is_some()))
             });
-        lost && dead * PARTITION_DIVISOR < total
+        lost && dead * PARTITION_DEAD_DIVISOR < total
     }
 
-    /// The hops of a chain whose endpoints made no progress within
+    /// The hops of a chain whose endpoints are unknown or made no progress within
     /// `SILENCE_TIMEOUT`.
     pub fn silent(&self, chain: &[Hop], now: Instant) -> SmallVec<[Hop; 4]> {
         let progressing = |m: &Member| now < m.last_progress + SILENCE_TIMEOUT;
@@ -186,7 +186,7 @@
             .saturating_mul(1 << member.consecutive_failures.min(8))
             .min(MAX_EJECTION);
         member.consecutive_failures += 1;
-        member.failure_rate += FAILURE_GAIN * (1.0 - member.failure_rate);
+        member.failure_rate += FAILURE_RATE_WEIGHT * (1.0 - member.failure_rate);
         member.ejected_until = now + ejection;
         let (service, zone) = (member.endpoint.service.clone(), member.endpoint.zone.clone());
         self.eject_zone(&service, &zone, now);
@@ -200,15 +200,15 @@
         if now < member.cache_full_until {
             return;
         }
-        let again = now < member.cache_full_until + member.cache_full_for;
-        let next = if again { member.cache_full_for * 2 } else { INITIAL_CACHE_FULL };
-        member.cache_full_for = next.min(MAX_CACHE_FULL);
-        member.cache_full_until = now + member.cache_full_for;
+        let again = now < member.cache_full_until + member.cache_full_pause;
+        let next = if again { member.cache_full_pause * 2 } else { INITIAL_CACHE_FULL_PAUSE };
+        member.cache_full_pause = next.min(MAX_CACHE_FULL_PAUSE);
+        member.cache_full_until = now + member.cache_full_pause;
     }
 
     /// Ejects a service's endpoints in a zone if many of them failed and none makes
     /// progress. The zone is then probably unreachable, and detecting this
-    /// endpoint by endpoint would cost one request for each.
+    /// separately for each endpoint would make a request fail at each.
     fn eject_zone(&mut self, service: &str, zone: &str, now: Instant) {
         let mut members: SmallVec<[&mut Member; 32]> = self
             .members
@@ -217,7 +217,10 @@
             .collect();
         let ejected = members.iter().filter(|m| now < m.ejected_until).count();
         let progressing = members.iter().any(|m| now < m.last_progress + SILENCE_TIMEOUT);
-        if ejected >= MIN_EJECTED && ejected * EJECTED_DIVISOR >= members.len() && !progressing {
+        if ejected >= ZONE_EJECTION_MIN_ENDPOINTS
+            && ejected * ZONE_EJECTION_DIVISOR >= members.len()
+            && !progressing
+        {
             for member in &mut members {
                 member.ejected_until = member.ejected_until.max(now + ZONE_EJECTION);
             }
@@ -228,7 +231,7 @@
     pub fn record_answer(&mut self, id: &str, succeeded: bool) {
         let Some(member) = self.members.get_mut(id) else { return };
         let failed = if succeeded { 0.0 } else { 1.0 };
-        member.failure_rate += FAILURE_GAIN * (failed - member.failure_rate);
+        member.failure_rate += FAILURE_RATE_WEIGHT * (failed - member.failure_rate);
         if succeeded {
             member.consecutive_failures = 0;
         }
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -27,14 +27,14 @@
 pub use chain::{Demand, Query, Shortage};
 pub use claim::Claim;
 
-/// Pace from which an endpoint gets no new work while others hold its layers,
+/// Slowdown from which an endpoint gets no new work while others hold its layers,
 /// because it delays every token of every stream that passes through it.
-const SLOW_PACE: f64 = 6.0;
+const SLOW_THRESHOLD: f64 = 6.0;
 
-/// Smallest change in pace that is announced to peers.
-const PACE_STEP: f64 = 0.25;
+/// Smallest change in slowdown that is announced to peers.
+const MIN_ANNOUNCED_SLOWDOWN_CHANGE: f64 = 0.25;
 
-/// Time after which a peer's digest expires: several digest intervals.
+/// Time after which a peer's digest expires.
 const PEER_DIGEST_TTL: Duration = Duration::from_secs(3);
 
 /// One hop of a chain: an endpoint and the layers that it runs.
@@ -60,7 +60,8 @@
     pub cache: f32,
     /// Pending prefill, tokens x layers.
     pub prefill: f32,
-    /// Requests that routers sent to it, as the first hop.
+    /// Requests in progress of which it is the first hop or, in a plain service, the
+    /// endpoint.
     pub requests: u32,
 }
 
@@ -75,9 +76,9 @@
     peer_usage: Usage,
     /// Reported slowdown relative to the nominal speed of its card; 1 is nominal.
     pace: f64,
-    /// Heartbeat of the directory entry that the latest report overrides. An entry
-    /// with the same heartbeat still lists the layers from before the report.
-    reported_at: Option<u64>,
+    /// Heartbeat number of the directory entry at the time of the latest report. An
+    /// entry with this number is older than the report, so its layers are ignored.
+    heartbeat_at_report: Option<u64>,
     /// Time of the latest observation by this router or a peer.
     observed_at: Instant,
     /// Last time that a request passing through it made progress.
@@ -86,19 +87,21 @@
     active_streams: u32,
     /// When it was first found unresponsive, if it has not responded since.
     dead_since: Option<Instant>,
-    /// It is ejected after a failure until then.
+    /// End of its latest ejection after a failure.
     ejected_until: Instant,
-    /// It refused a request for lack of memory and gets no new work until then.
+    /// End of its latest pause: it gets no new work for a time after it refused a request
+    /// for lack of memory.
     cache_full_until: Instant,
-    /// Length of the latest such period.
-    cache_full_for: Duration,
+    /// Length of its latest pause for lack of memory.
+    cache_full_pause: Duration,
     /// Consecutive failures.
     consecutive_failures: u32,
     /// Share of recent answers that failed.
     failure_rate: f64,
     /// When it joined the directory, if it already held layers then.
     reappeared_at: Option<Instant>,
-    /// When its directory entry was first missing.
+    /// When its directory entry was first missing. Set only while a directory read is
+    /// applied.
     missing_since: Option<Instant>,
 }
 
@@ -175,14 +178,14 @@
             own_usage: Usage::default(),
             peer_usage: Usage::default(),
             pace: 1.0,
-            reported_at: None,
+            heartbeat_at_report: None,
             observed_at: Instant::ZERO,
             last_progress: now,
             active_streams: 0,
             dead_since: None,
             ejected_until: Instant::ZERO,
             cache_full_until: Instant::ZERO,
-            cache_full_for: Duration::ZERO,
+            cache_full_pause: Duration::ZERO,
             consecutive_failures: 0,
             failure_rate: 0.0,
             missing_since: None,
@@ -201,11 +204,11 @@
             self.dead_since = None;
         }
         let pace = f64::from(observation.pace);
-        let changed =
-            self.endpoint.layers != observation.layers || (self.pace - pace).abs() > PACE_STEP;
+        let changed = self.endpoint.layers != observation.layers
+            || (self.pace - pace).abs() > MIN_ANNOUNCED_SLOWDOWN_CHANGE;
         self.endpoint.layers = observation.layers;
         self.pace = pace;
-        self.reported_at = Some(self.endpoint.heartbeat);
+        self.heartbeat_at_report = Some(self.endpoint.heartbeat);
         changed
     }
 
@@ -224,10 +227,10 @@
         self.is_alive() && now >= self.ejected_until && !self.is_slow()
     }
 
-    /// Whether it is so slow that refusing a request is better than sending it
-    /// there.
+    /// Whether its slowdown has reached `SLOW_THRESHOLD`. It is then used only if some
+    /// layer has no usable holder.
     pub fn is_slow(&self) -> bool {
-        self.pace >= SLOW_PACE
+        self.pace >= SLOW_THRESHOLD
     }
 
     /// Usage by this router and its peers.
@@ -268,12 +271,12 @@
 impl Fleet {
     /// Applies the directory as read at `now`.
     ///
-    /// Endpoints without an entry are kept until `lapsed_until`: after an outage
+    /// Endpoints without an entry are kept until `keep_missing_until`: after an outage
     /// of the store, endpoints need time to register again.
     pub fn apply_directory(
         &mut self,
         entries: Vec<Endpoint>,
-        lapsed_until: Instant,
+        keep_missing_until: Instant,
         now: Instant,
     ) -> DirectoryChange {
         let mut change = DirectoryChange::default();
@@ -285,7 +288,7 @@
         let missing = self.members.iter_mut().filter(|(id, _)| !listed.contains(*id));
         for (id, member) in missing {
             member.missing_since.get_or_insert(now);
-            if now >= lapsed_until {
+            if now >= keep_missing_until {
                 change.gone.push(id.clone());
             } else {
                 // Known from before the outage, so it stays usable.
@@ -322,7 +325,7 @@
             return;
         }
         let mut entry = entry;
-        if member.reported_at == Some(entry.heartbeat) {
+        if member.heartbeat_at_report == Some(entry.heartbeat) {
             entry.layers = member.endpoint.layers;
         }
         if entry.layers != member.endpoint.layers {
--- a/mimosashift/src/fleet/plain.rs
+++ b/mimosashift/src/fleet/plain.rs
@@ -6,13 +6,13 @@
 use crate::resource::Layers;
 use crate::time::Instant;
 
-/// Cost of a failure rate of 1, in fully loaded endpoints.
+/// Cost of a failure rate of 1, in units of load (1 if all slots are in use).
 const FAILURE_COST: f64 = 4.0;
 
-/// Cost of an ejected or slow endpoint, in fully loaded endpoints.
+/// Cost of an ejected, slow or dead endpoint, in units of load.
 const UNUSABLE_COST: f64 = 100.0;
 
-/// Cost of another zone, in fully loaded endpoints; breaks ties in favour of the
+/// Cost of another zone, in units of load; breaks ties in favour of the
 /// router's own zone.
 const REMOTE_ZONE_COST: f64 = 0.05;
 
@@ -30,7 +30,7 @@
         avoid: &[Arc<str>],
         now: Instant,
     ) -> Option<Hop> {
-        let usable = |m: &&Member| {
+        let eligible = |m: &&Member| {
             &*m.endpoint.service == service
                 && m.takes_work()
                 && !avoid.contains(&m.endpoint.id)
@@ -43,12 +43,13 @@
             let unusable = if m.is_usable(now) { 0.0 } else { UNUSABLE_COST };
             load + remote + FAILURE_COST * m.failure_rate + unusable
         };
-        let usable = self.members.values().filter(usable);
-        let best = usable.min_by(|a, b| cost(a).total_cmp(&cost(b)))?;
+        let eligible = self.members.values().filter(eligible);
+        let best = eligible.min_by(|a, b| cost(a).total_cmp(&cost(b)))?;
         Some(Hop {
             id: best.endpoint.id.clone(),
             address: best.endpoint.address,
             incarnation: best.endpoint.incarnation,
+            // A plain service has no layers; the range is a placeholder.
             layers: Layers::try_from((0, 1)).expect("the range is not empty"),
         })
     }
--- a/mimosashift/src/layout/mod.rs
+++ b/mimosashift/src/layout/mod.rs
@@ -15,14 +15,14 @@
 /// Upper bound on the KV cache capacity reserved for each layer, in tokens. A
 /// larger reserve splits the copy into more parts, each of which adds latency
 /// to every token.
-const MAX_TOKENS: f64 = 140_000.0;
+const MAX_CACHE_TOKENS_PER_LAYER: f64 = 140_000.0;
 
 /// Lower bound on the KV cache capacity reserved for each layer, in tokens, when
-/// a pool is small of memory.
-const MIN_TOKENS: f64 = 40_000.0;
+/// a pool has little memory.
+const MIN_CACHE_TOKENS_PER_LAYER: f64 = 40_000.0;
 
 /// Step between the capacity targets that are tried, in tokens.
-const TOKEN_STEP: f64 = 10_000.0;
+const CACHE_TOKENS_STEP: f64 = 10_000.0;
 
 /// Copies of the model that a pool should have room for: one, and spare room to
 /// replace lost layers.
@@ -31,29 +31,30 @@
 /// Score of an additional copy of a layer, relative to that of the first.
 const EXTRA_COPY_SCORE: f64 = 0.02;
 
-/// Part of the score of an additional copy that does not depend on the holders.
-/// The other part is the share of the model on the largest holder, because
-/// a larger range takes longer to reload.
-const BASE_SCORE: f64 = 0.5;
+/// Term in the score of an additional copy. It is added to the share of the model on
+/// the largest holder, because a larger range takes longer to reload; the sum is scaled
+/// down as the layer's capacity grows.
+const EXTRA_COPY_BASE: f64 = 0.5;
 
-/// Factor by which a change must raise the capacity of the scarcest layer, since
-/// an endpoint is unavailable while it changes its range.
-const MIN_GAIN: f64 = 1.15;
+/// Factor by which a change must raise the capacity of the scarcest layer, since an
+/// endpoint serves no layers for seconds while it changes its range.
+const MIN_CAPACITY_GAIN: f64 = 1.15;
 
-/// Share of the target capacity below which the scarcest layer justifies a
-/// change: an endpoint serves no layers for seconds while it changes its range.
+/// Share of the target capacity below which the scarcest layer justifies a change of a
+/// range.
 const LOW_CAPACITY_SHARE: f64 = 0.6;
 
-/// Share of the scarcest layer's capacity that other endpoints must provide,
-/// during a change, for each layer that the changed endpoint gives up.
+/// Share of the scarcest layer's current capacity that every layer given up by the
+/// changed endpoint must keep from the other endpoints.
 const MIN_REMAINING_SHARE: f64 = 0.5;
 
 /// Cost of loading one layer, relative to the score of a missing layer.
 const LOAD_COST: f64 = 0.01;
 
-/// Cost of changing an endpoint whose memory is fully used, relative to the score
-/// of a missing layer: its requests must end first.
-const IN_USE_COST: f64 = 1.0;
+/// Cost of changing an endpoint whose KV cache is full, relative to the score of a
+/// missing layer; scaled by the share in use. The requests of the endpoint must end
+/// before it changes.
+const CACHE_USE_COST: f64 = 1.0;
 
 /// State of an endpoint that the planner reads.
 #[derive(Clone, Debug, PartialEq)]
@@ -81,7 +82,8 @@
     pub layers: Layers,
 }
 
-/// Returns the assignments that bring each pool closer to a complete copy.
+/// Returns the assignments that complete each pool's copy or raise the capacity of its
+/// scarcest layer.
 pub fn plan(engine: &Engine, endpoints: &[EndpointState]) -> Vec<Assignment> {
     let mut assignments = Vec::new();
     for pool in pools(engine, endpoints) {
@@ -98,19 +100,21 @@
     }
     let mut pools: Vec<Vec<EndpointState>> = zones.into_values().collect();
     let holds_copy = |pool: &Vec<EndpointState>| {
-        total_layers(engine, pool, MIN_TOKENS) >= u32::from(engine.layers)
+        total_layers(engine, pool, MIN_CACHE_TOKENS_PER_LAYER) >= u32::from(engine.layers)
     };
     while pools.len() > 1
         && let Some(small) = pools.iter().position(|pool| !holds_copy(pool))
     {
         let pool = pools.remove(small);
-        let fewest = (0..pools.len()).min_by_key(|i| total_layers(engine, &pools[*i], MIN_TOKENS));
+        let fewest = (0..pools.len())
+            .min_by_key(|i| total_layers(engine, &pools[*i], MIN_CACHE_TOKENS_PER_LAYER));
         pools[fewest.expect("another pool is left")].extend(pool);
     }
     pools
 }
 
-/// Number of layers that the endpoints can hold beside `tokens` of KV cache each.
+/// Number of layers that the endpoints can hold with KV cache for `tokens` tokens in
+/// each layer.
 fn total_layers(engine: &Engine, pool: &[EndpointState], tokens: f64) -> u32 {
     pool.iter().map(|endpoint| u32::from(engine.max_layers(&endpoint.card, tokens))).sum()
 }
@@ -122,7 +126,7 @@
     /// a holder.
     capacity: Vec<f64>,
     /// For each layer, the number of layers on its largest holder.
-    largest: Vec<u16>,
+    largest_range: Vec<u16>,
     assignments: Vec<Assignment>,
 }
 
@@ -137,7 +141,7 @@
             engine,
             endpoints,
             capacity: vec![0.0; layers],
-            largest: vec![0; layers],
+            largest_range: vec![0; layers],
             assignments: Vec::new(),
         };
         pool.recount();
@@ -148,10 +152,10 @@
         let target = self.target();
         self.fill(target);
         let mut tokens = target;
-        while self.has_gap() && tokens >= MIN_TOKENS {
+        while self.has_gap() && tokens >= MIN_CACHE_TOKENS_PER_LAYER {
             // Repairs what it can at this capacity, before reserving less.
             while self.has_gap() && self.repair(tokens) {}
-            tokens -= TOKEN_STEP;
+            tokens -= CACHE_TOKENS_STEP;
         }
         let busy = self.endpoints.iter().any(|endpoint| endpoint.busy);
         if self.assignments.is_empty() && !busy && !self.has_gap() {
@@ -164,11 +168,11 @@
     /// `TARGET_COPIES`.
     fn target(&self) -> f64 {
         let min_layers = TARGET_COPIES * f64::from(self.engine.layers);
-        let mut tokens = MAX_TOKENS;
-        while tokens > MIN_TOKENS
+        let mut tokens = MAX_CACHE_TOKENS_PER_LAYER;
+        while tokens > MIN_CACHE_TOKENS_PER_LAYER
             && f64::from(total_layers(self.engine, &self.endpoints, tokens)) < min_layers
         {
-            tokens -= TOKEN_STEP;
+            tokens -= CACHE_TOKENS_STEP;
         }
         tokens
     }
@@ -180,13 +184,13 @@
     /// Recomputes the capacity and the largest holder of each layer.
     fn recount(&mut self) {
         self.capacity.fill(0.0);
-        self.largest.fill(0);
+        self.largest_range.fill(0);
         for endpoint in &self.endpoints {
             let Some(layers) = endpoint.layers else { continue };
             let tokens = self.capacity_of(endpoint, layers);
             for layer in range(layers) {
                 self.capacity[layer] += tokens;
-                self.largest[layer] = self.largest[layer].max(layers.count());
+                self.largest_range[layer] = self.largest_range[layer].max(layers.count());
             }
         }
     }
@@ -194,7 +198,7 @@
     /// KV cache capacity of an endpoint for each of `layers`, in tokens.
     fn capacity_of(&self, endpoint: &EndpointState, layers: Layers) -> f64 {
         let count = layers.count();
-        // At least 1, because a layer whose holder has no memory left is no gap.
+        // At least 1, since a capacity of 0 marks a layer without a holder.
         (self.engine.kv_capacity(&endpoint.card, count) / f64::from(count)).max(1.0)
     }
 
@@ -227,38 +231,44 @@
         if self.capacity[layer] == 0.0 {
             return 1.0;
         }
-        let share = f64::from(self.largest[layer]) / f64::from(self.engine.layers);
-        EXTRA_COPY_SCORE * (BASE_SCORE + share) * (MAX_TOKENS / self.capacity[layer]).min(2.0)
+        // A layer scores more the lower its capacity is, up to a factor of 2.
+        let share = f64::from(self.largest_range[layer]) / f64::from(self.engine.layers);
+        EXTRA_COPY_SCORE
+            * (EXTRA_COPY_BASE + share)
+            * (MAX_CACHE_TOKENS_PER_LAYER / self.capacity[layer]).min(2.0)
     }
 
     /// Changes the one range that most raises the capacity of the scarcest layer,
     /// if that capacity is far below the target.
     fn improve(&mut self, target: f64) {
-        let least = |tokens: &[f64]| tokens.iter().copied().fold(f64::MAX, f64::min);
-        let now = least(&self.capacity);
-        if now >= LOW_CAPACITY_SHARE * target {
+        let lowest_of = |tokens: &[f64]| tokens.iter().copied().fold(f64::MAX, f64::min);
+        let current_lowest = lowest_of(&self.capacity);
+        if current_lowest >= LOW_CAPACITY_SHARE * target {
             return;
         }
         let mut best: Option<(f64, usize, Layers)> = None;
         for (index, endpoint) in self.endpoints.iter().enumerate() {
             let Some(held) = endpoint.layers else { continue };
-            let mut without = self.capacity.clone();
+            let mut capacity_without = self.capacity.clone();
             let tokens = self.capacity_of(endpoint, held);
-            range(held).for_each(|layer| without[layer] -= tokens);
-            let most = self.engine.max_layers(&endpoint.card, MIN_TOKENS);
-            for layers in ranges(1, most, self.engine.layers) {
+            range(held).for_each(|layer| capacity_without[layer] -= tokens);
+            let max_count = self.engine.max_layers(&endpoint.card, MIN_CACHE_TOKENS_PER_LAYER);
+            for layers in ranges(1, max_count, self.engine.layers) {
                 let given_up = range(held).filter(|layer| !range(layers).contains(layer));
-                if given_up.clone().any(|layer| without[layer] < MIN_REMAINING_SHARE * now) {
+                if given_up
+                    .clone()
+                    .any(|layer| capacity_without[layer] < MIN_REMAINING_SHARE * current_lowest)
+                {
                     continue;
                 }
                 if !self.fits(endpoint, layers) {
                     continue;
                 }
                 let tokens = self.capacity_of(endpoint, layers);
-                let mut with = without.clone();
-                range(layers).for_each(|layer| with[layer] += tokens);
-                let lowest = least(&with);
-                if lowest > best.map_or(now * MIN_GAIN, |(lowest, ..)| lowest) {
+                let mut capacity_with = capacity_without.clone();
+                range(layers).for_each(|layer| capacity_with[layer] += tokens);
+                let lowest = lowest_of(&capacity_with);
+                if lowest > best.map_or(current_lowest * MIN_CAPACITY_GAIN, |(lowest, ..)| lowest) {
                     best = Some((lowest, index, layers));
                 }
             }
@@ -285,8 +295,8 @@
             if endpoint.busy {
                 continue;
             }
-            let most = self.engine.max_layers(&endpoint.card, tokens);
-            for (score, layers) in self.changes(endpoint, most) {
+            let max_count = self.engine.max_layers(&endpoint.card, tokens);
+            for (score, layers) in self.changes(endpoint, max_count) {
                 if score > best.map_or(0.0, |(score, ..)| score) {
                     best = Some((score, index, layers));
                 }
@@ -299,46 +309,47 @@
 
     /// The ranges an endpoint could hold instead that cover missing layers, with
     /// their scores.
-    fn changes(&self, endpoint: &EndpointState, most: u16) -> Vec<(f64, Layers)> {
-        let now = endpoint.layers;
-        let busy = now.map_or(0.0, |now| {
-            let capacity = self.engine.kv_capacity(&endpoint.card, now.count());
+    fn changes(&self, endpoint: &EndpointState, max_count: u16) -> Vec<(f64, Layers)> {
+        let current = endpoint.layers;
+        let used_share = current.map_or(0.0, |current| {
+            let capacity = self.engine.kv_capacity(&endpoint.card, current.count());
             (endpoint.used / capacity.max(1.0)).min(1.0)
         });
-        let least = now.map_or(1, |layers| layers.count().min(most)).max(1);
+        let min_count = current.map_or(1, |layers| layers.count().min(max_count)).max(1);
         let mut changes = Vec::new();
-        for layers in ranges(least, most, self.engine.layers) {
+        for layers in ranges(min_count, max_count, self.engine.layers) {
             let gained = range(layers).filter(|layer| self.capacity[*layer] == 0.0).count();
             if gained == 0 || !self.fits(endpoint, layers) || self.opens_gap(endpoint, layers) {
                 continue;
             }
-            let held = |layer: &usize| now.is_some_and(|now| range(now).contains(layer));
+            let held =
+                |layer: &usize| current.is_some_and(|current| range(current).contains(layer));
             let loaded = range(layers).filter(|layer| !held(layer)).count();
-            let cost = LOAD_COST * loaded as f64 + IN_USE_COST * busy;
+            let cost = LOAD_COST * loaded as f64 + CACHE_USE_COST * used_share;
             changes.push((gained as f64 - cost, layers));
         }
         changes
     }
 
-    /// Whether the KV cache in use fits beside `layers`. Preempted requests would
-    /// have to repeat their prefill.
+    /// Whether the KV cache in use fits beside `layers`. If it did not, requests would be
+    /// preempted and have to repeat their prefill.
     fn fits(&self, endpoint: &EndpointState, layers: Layers) -> bool {
         endpoint.used <= self.engine.kv_capacity(&endpoint.card, layers.count())
     }
 
     /// Whether holding `next` instead would leave a layer without a holder.
     fn opens_gap(&self, endpoint: &EndpointState, next: Layers) -> bool {
-        let Some(now) = endpoint.layers else { return false };
-        let own = self.capacity_of(endpoint, now);
-        let given_up = range(now).filter(|layer| !range(next).contains(layer));
+        let Some(current) = endpoint.layers else { return false };
+        let own = self.capacity_of(endpoint, current);
+        let given_up = range(current).filter(|layer| !range(next).contains(layer));
         given_up.into_iter().any(|layer| self.capacity[layer] - own < 1.0)
     }
 }
 
-/// Every range of `least` to `most` consecutive layers of a model of `total`.
-fn ranges(least: u16, most: u16, total: u16) -> impl Iterator<Item = Layers> {
+/// Every range of `min_count` to `max_count` consecutive layers of a model of `total`.
+fn ranges(min_count: u16, max_count: u16, total: u16) -> impl Iterator<Item = Layers> {
     let starts = move |count: u16| (0..=total.saturating_sub(count)).map(move |s| (s, s + count));
-    (least..=most).flat_map(starts).filter_map(|range| Layers::try_from(range).ok())
+    (min_count..=max_count).flat_map(starts).filter_map(|range| Layers::try_from(range).ok())
 }
 
 fn range(layers: Layers) -> std::ops::Range<usize> {
--- a/mimosashift/src/route/affinity.rs
+++ b/mimosashift/src/route/affinity.rs
@@ -1,7 +1,7 @@
 //! Tracks which endpoints cache which prompt prefixes, from the engines' events.
 //!
 //! Cache events can be delayed or lost, so the confidence in an entry decreases
-//! with its age and entries expire. Memory is bounded by construction.
+//! with its age and entries expire. The number of stored prefixes is limited.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -46,7 +46,7 @@
     pub confidence: f32,
 }
 
-/// Prefixes by hash.
+/// Index of the endpoints that cache each prefix, by its hash.
 ///
 /// Two generations bound the memory: when the young one is full, it replaces the
 /// old one, which is dropped.
@@ -55,7 +55,7 @@
     settings: Settings,
     young: Prefixes,
     old: Prefixes,
-    endpoints: HashMap<Name, Cache>,
+    endpoints: HashMap<Name, EventStream>,
 }
 
 type Prefixes = HashMap<u64, SmallVec<[Holder; 4]>>;
@@ -68,7 +68,7 @@
 
 /// The event stream of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-struct Cache {
+struct EventStream {
     sequence: u64,
     /// When a gap in the sequence was last detected.
     gap_at: Option<Instant>,
@@ -76,7 +76,6 @@
     cleared_at: Option<Instant>,
 }
 
-/// Commands.
 impl Affinity {
     /// Creates an empty index.
     pub fn new(settings: Settings) -> Self {
@@ -86,22 +85,22 @@
     /// Applies event number `sequence` of an endpoint's stream. An out-of-order
     /// event is ignored; a gap lowers the confidence in all earlier entries.
     pub fn event(&mut self, endpoint: &Name, sequence: u64, event: Event<'_>, now: Instant) {
-        let cache = self.endpoints.entry(endpoint.clone()).or_default();
-        if sequence <= cache.sequence {
+        let stream = self.endpoints.entry(endpoint.clone()).or_default();
+        if sequence <= stream.sequence {
             return;
         }
-        if cache.sequence > 0 && sequence > cache.sequence + 1 {
-            cache.gap_at = Some(now);
+        if stream.sequence > 0 && sequence > stream.sequence + 1 {
+            stream.gap_at = Some(now);
         }
-        cache.sequence = sequence;
+        stream.sequence = sequence;
         match event {
             Event::Stored(hashes) => self.store(endpoint, hashes, now),
             Event::Removed(hashes) => self.remove(endpoint, hashes),
-            Event::Cleared => cache.cleared_at = Some(now),
+            Event::Cleared => stream.cleared_at = Some(now),
         }
     }
 
-    /// Records that `endpoint` has run a request with these prefixes.
+    /// Records that `endpoint` caches these prefixes.
     pub fn store(&mut self, endpoint: &Name, hashes: &[u64], now: Instant) {
         let entry = self.endpoints.entry(endpoint.clone());
         let name = entry.key().clone();
@@ -149,7 +148,6 @@
     }
 }
 
-/// Queries.
 impl Affinity {
     /// The endpoints that probably cache the prefix with this hash.
     pub fn holders(&self, hash: u64, now: Instant) -> SmallVec<[Match; 4]> {
@@ -172,13 +170,13 @@
     }
 
     fn confidence(&self, holder: &Holder, now: Instant) -> f32 {
-        let cache = self.endpoints.get(&holder.endpoint).copied().unwrap_or_default();
-        if cache.cleared_at.is_some_and(|cleared_at| holder.at <= cleared_at) {
+        let stream = self.endpoints.get(&holder.endpoint).copied().unwrap_or_default();
+        if stream.cleared_at.is_some_and(|cleared_at| holder.at <= cleared_at) {
             return 0.0;
         }
         let age = now.since(holder.at).as_secs_f32() / self.settings.expiry.as_secs_f32();
         let freshness = (1.0 - age).max(0.0);
-        match cache.gap_at {
+        match stream.gap_at {
             Some(gap_at) if holder.at < gap_at => freshness * GAP_CONFIDENCE,
             _ => freshness,
         }
--- a/mimosashift/src/route/chain.rs
+++ b/mimosashift/src/route/chain.rs
@@ -62,7 +62,7 @@
         Ok(Self { pipeline, version, stages })
     }
 
-    /// The model.
+    /// The pipeline (a model's configuration).
     pub const fn pipeline(&self) -> &Name {
         &self.pipeline
     }
--- a/mimosashift/src/route/choose.rs
+++ b/mimosashift/src/route/choose.rs
@@ -10,7 +10,7 @@
 use super::cost::Work;
 use super::sample::{self, Candidate, Candidates};
 use super::search::{PathStage, Search};
-use super::table::{Holder, Model, Segment};
+use super::table::{Holder, ModelVersion, Segment};
 use super::{Chain, Refusal, RouteRequest, Stage, Table, explain};
 use crate::health::{Availability, HealthView};
 use crate::resource::{Layers, Name};
@@ -81,10 +81,11 @@
         let evaluator = self.evaluator(request, model, sources.health, 0.0, now);
         let mut best = evaluator.search(model, &mut stats, rng);
         let mut cached_tokens = 0;
-        if let Some((cached, tokens)) = self.cached(request, model, sources, now, &mut stats, rng)
-            && best.as_ref().is_none_or(|plain| cached.cost_us < plain.cost_us)
+        if let Some((cached_choice, tokens)) =
+            self.choose_cached(request, model, sources, now, &mut stats, rng)
+            && best.as_ref().is_none_or(|plain| cached_choice.cost_us < plain.cost_us)
         {
-            best = Some(cached);
+            best = Some(cached_choice);
             cached_tokens = tokens;
         }
         let found = best.ok_or_else(|| evaluator.refusal(model))?;
@@ -96,25 +97,25 @@
         })
     }
 
-    /// Creates an evaluator for a request of whose prompt `cached` tokens are cached.
+    /// Creates an evaluator for a request of whose prompt `cached_tokens` tokens are cached.
     pub(super) fn evaluator<'a, V: HealthView>(
         &'a self,
         request: &'a RouteRequest<'a>,
-        model: &Model,
+        model: &ModelVersion,
         health: &'a V,
-        cached: f32,
+        cached_tokens: f32,
         now: Instant,
     ) -> Evaluator<'a, V> {
-        let work = Work::new(request, model.layers, model.hidden_bytes, cached);
+        let work = Work::new(request, model.layers, model.hidden_bytes, cached_tokens);
         Evaluator { table: self, request, health, work, now }
     }
 
     /// The best chain of endpoints that all cache the same prefix, since a cached
     /// prefix only saves work if every stage has it.
-    fn cached<V: HealthView>(
+    fn choose_cached<V: HealthView>(
         &self,
         request: &RouteRequest<'_>,
-        model: &Model,
+        model: &ModelVersion,
         sources: &Sources<'_, V>,
         now: Instant,
         stats: &mut Stats,
@@ -135,7 +136,7 @@
         None
     }
 
-    fn chain(&self, request: &RouteRequest<'_>, model: &Model, path: &[PathStage]) -> Chain {
+    fn chain(&self, request: &RouteRequest<'_>, model: &ModelVersion, path: &[PathStage]) -> Chain {
         let name = |stage: &PathStage| match stage.candidate {
             Some(candidate) => self.entries[candidate.holder.entry as usize].name.clone(),
             None => kept_at(request, stage.layers.start())
@@ -191,7 +192,12 @@
     }
 
     /// Searches over candidates sampled from all holders.
-    fn search(&self, model: &Model, stats: &mut Stats, rng: &mut Pcg64Mcg) -> Option<SearchResult> {
+    fn search(
+        &self,
+        model: &ModelVersion,
+        stats: &mut Stats,
+        rng: &mut Pcg64Mcg,
+    ) -> Option<SearchResult> {
         self.search_with(model, |layer| {
             let segment = &model.segments[model.segment_at(layer)];
             sample::sample(segment, self, stats, rng)
@@ -201,7 +207,7 @@
     /// Searches over the endpoints in `matches`, which cache a prefix.
     fn search_among(
         &self,
-        model: &Model,
+        model: &ModelVersion,
         matches: &[Match],
         stats: &mut Stats,
         rng: &mut Pcg64Mcg,
@@ -217,7 +223,7 @@
 
     fn search_with(
         &self,
-        model: &Model,
+        model: &ModelVersion,
         mut candidates: impl FnMut(u16) -> Candidates,
     ) -> Option<SearchResult> {
         let mut search = Search::new(&model.boundaries, self.request.kept);
@@ -230,7 +236,7 @@
                 search.keep(boundary, kept.layers.end());
                 continue;
             }
-            let limit = free_until(self.request, layer);
+            let limit = next_kept_start(self.request, layer);
             for candidate in candidates(layer) {
                 search.relax(boundary, &candidate, limit);
             }
@@ -240,9 +246,11 @@
     }
 
     /// The reason why no chain exists.
-    fn refusal(&self, model: &Model) -> Refusal {
+    fn refusal(&self, model: &ModelVersion) -> Refusal {
         let pipeline = self.request.pipeline.clone();
-        if let Some(layers) = self.first_without(model, |standing| standing < Availability::Leaving)
+        // `Leaving` is the last variant, so any other one compares less.
+        if let Some(layers) = self
+            .first_layers_without_holder(model, |availability| availability < Availability::Leaving)
         {
             let version = self.request.version;
             return Refusal::NoHolder { pipeline, version, layers };
@@ -252,15 +260,15 @@
     }
 
     /// The first layers, apart from kept ones, for which no holder is `usable`.
-    fn first_without(
+    fn first_layers_without_holder(
         &self,
-        model: &Model,
+        model: &ModelVersion,
         usable: impl Fn(Availability) -> bool,
     ) -> Option<Layers> {
         let is_usable = |holder: &Holder| {
             let entry = &self.table.entries[holder.entry as usize];
-            let standing = self.health.condition(&entry.name, self.now).availability;
-            !self.is_avoided(&entry.name, &entry.domain) && usable(standing)
+            let availability = self.health.condition(&entry.name, self.now).availability;
+            !self.is_avoided(&entry.name, &entry.domain) && usable(availability)
         };
         let is_kept = |range: &[u16]| {
             let kept = self.request.kept.iter().map(|stage| stage.layers);
@@ -284,7 +292,7 @@
     }
 }
 
-fn check_kept(request: &RouteRequest<'_>, model: &Model) -> Result<(), Refusal> {
+fn check_kept(request: &RouteRequest<'_>, model: &ModelVersion) -> Result<(), Refusal> {
     let mut next_free = 0;
     for stage in request.kept {
         if stage.layers.start() < next_free || stage.layers.end() > model.layers {
@@ -303,7 +311,7 @@
 }
 
 /// Start of the first kept stage after `layer`, or `u16::MAX`.
-fn free_until(request: &RouteRequest<'_>, layer: u16) -> u16 {
+fn next_kept_start(request: &RouteRequest<'_>, layer: u16) -> u16 {
     let starts = request.kept.iter().map(|stage| stage.layers.start());
     starts.filter(|&start| start > layer).min().unwrap_or(u16::MAX)
 }
--- a/mimosashift/src/route/cost.rs
+++ b/mimosashift/src/route/cost.rs
@@ -6,8 +6,9 @@
 use crate::health::{Availability, Condition, time_model};
 use crate::resource::{Engine, Snapshot};
 
-/// Added to the cost of a returning endpoint that is skipped by this choice; more
-/// than any estimate, less than the next penalty.
+/// Added to the cost of an endpoint in recovery from ejection when the random draw
+/// excludes it, so that it is used only without an alternative; more than any estimate,
+/// less than the next penalty.
 const RETURNING_PENALTY_US: f64 = 1e10;
 
 /// Added to the cost of an endpoint ejected as a slow outlier.
@@ -39,7 +40,7 @@
     decode_bytes: f32,
 }
 
-/// What an endpoint adds to a request's completion time, in microseconds.
+/// Parts of the estimated cost of an endpoint, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// Time waiting for a slot.
@@ -48,7 +49,8 @@
     pub link_us: f64,
     /// Compute time per layer for all tokens.
     pub layer_us: f64,
-    /// Penalty that makes an unhealthy or returning endpoint the last resort; otherwise 0.
+    /// Penalty for an unhealthy endpoint or one in recovery, so that it is chosen only if
+    /// there is no alternative; otherwise 0.
     pub penalty_us: f64,
 }
 
@@ -83,8 +85,8 @@
         let slots = f64::from(self.slots);
         let free_slots = slots * (1.0 - settings.reserved_share);
         let queued = (f64::from(concurrent) - free_slots).max(0.0);
-        let rounds = queued / slots;
-        let wait_us = rounds * layer_us * f64::from(work.layers * self.share);
+        let batches_ahead = queued / slots;
+        let wait_us = batches_ahead * layer_us * f64::from(work.layers * self.share);
         if wait_us > settings.max_wait.as_secs_f64() * 1e6 {
             return None;
         }
@@ -120,15 +122,16 @@
 }
 
 impl Work {
-    /// The work of `request` if the engines have cached `cached` tokens of its prompt.
+    /// The work of `request` if the engines have cached `cached_tokens` tokens of its prompt.
     pub(super) fn new(
         request: &RouteRequest<'_>,
         layers: u16,
         hidden_bytes: u32,
-        cached: f32,
+        cached_tokens: f32,
     ) -> Self {
-        let prompt = (request.prompt_tokens as f32 - cached).max(1.0);
+        let prompt = (request.prompt_tokens as f32 - cached_tokens).max(1.0);
         let decode_steps = request.output_tokens.saturating_sub(1) as f32;
+        // Hidden states go to the endpoint and back.
         let token_bytes = 2.0 * hidden_bytes as f32;
         Self {
             layers: f32::from(layers),
--- a/mimosashift/src/route/mod.rs
+++ b/mimosashift/src/route/mod.rs
@@ -32,7 +32,7 @@
     #[derive(Clone, Debug, PartialEq, Eq)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Refusal {
-        /// The pipeline is not configured.
+        /// The pipeline is not configured, or no endpoint holds any version of it.
         UnknownPipeline { pipeline: Name } {
             display("pipeline {:?} does not exist", pipeline.as_str())
         }
@@ -48,7 +48,9 @@
         NoHolder { pipeline: Name, version: u32, layers: Layers } {
             display("no live endpoint holds layers {} of version {} of pipeline {:?}", layers, version, pipeline.as_str())
         }
-        /// Every live endpoint that holds these layers is overloaded.
+        /// Every layer has a holder that is neither leaving nor excluded, but for some layers
+        /// all of them are overloaded or have an estimated wait above `max_wait`. `layers`
+        /// are all layers of the model.
         Overloaded { pipeline: Name, layers: Layers } {
             display("every endpoint that holds layers {} of pipeline {:?} is overloaded", layers, pipeline.as_str())
         }
@@ -62,7 +64,7 @@
 /// The properties of a request that the choice of its chain depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
-    /// The model.
+    /// The pipeline (a model's configuration).
     pub pipeline: &'a Name,
     /// The version that every stage must run.
     pub version: u32,
--- a/mimosashift/src/route/naive.rs
+++ b/mimosashift/src/route/naive.rs
@@ -25,8 +25,8 @@
     best: Option<(Vec<Stage>, f64)>,
 }
 
-/// The cheapest of all chains and its estimated time in microseconds, or `None` if
-/// no chain exists. Prefix caches and kept stages are ignored.
+/// The cheapest of all chains and its cost in microseconds, including penalties, or
+/// `None` if no chain exists. Prefix caches and kept stages are ignored.
 pub fn choose<V: HealthView>(
     snapshot: &Snapshot,
     distances: &Distances,
--- a/mimosashift/src/route/sample.rs
+++ b/mimosashift/src/route/sample.rs
@@ -17,14 +17,14 @@
 /// endpoints.
 const DRAWS_PER_CANDIDATE: usize = 2;
 
-/// Draws withheld from each partition, so that a fallback scan stays within the bound
-/// on evaluations.
+/// Draws withheld from each partition to offset the evaluations of a usual fallback
+/// scan, whose length is not limited.
 const RESERVED_DRAWS: usize = 4;
 
 /// One in this many draws is uniform.
 const UNIFORM_EVERY: usize = 4;
 
-/// Live candidates at which a fallback scan stops.
+/// Candidates without a penalty at which a fallback scan stops.
 const FALLBACK_CANDIDATES: usize = 2;
 
 /// Candidates of one segment.
@@ -42,8 +42,8 @@
 /// Samples candidates of `segment` (power of k choices), with most draws from the
 /// endpoints that are fastest when idle.
 ///
-/// If no draw yields a live candidate, it scans the holders, so that an endpoint
-/// that can run the layers is always found.
+/// If no draw yields a candidate without a penalty, it scans the holders, so that an
+/// endpoint that can run the layers is always found.
 pub(super) fn sample<V: HealthView>(
     segment: &Segment,
     evaluator: &Evaluator<'_, V>,
@@ -72,8 +72,8 @@
 
 /// Number of candidates to sample from the router's own failure domain.
 fn local_quota(requested: usize, local: usize, remote: usize) -> usize {
-    let share = (requested as f64 * LOCAL_SHARE).ceil() as usize;
-    share.max(requested.saturating_sub(remote)).min(local)
+    let wanted = (requested as f64 * LOCAL_SHARE).ceil() as usize;
+    wanted.max(requested.saturating_sub(remote)).min(local)
 }
 
 /// Samples up to `quota` candidates of one partition of a segment.
@@ -90,13 +90,13 @@
         return;
     }
     let target_count = found.len() + quota;
-    let octaves = (holders.len() as f32).log2();
+    let log2_length = (holders.len() as f32).log2();
     let mut seen: SmallVec<[u32; 64]> = SmallVec::new();
     for draw in 0..(quota * DRAWS_PER_CANDIDATE).saturating_sub(RESERVED_DRAWS) {
         if found.len() >= target_count {
             return;
         }
-        let rank = draw_rank(draw, holders.len(), octaves, rng);
+        let rank = draw_rank(draw, holders.len(), log2_length, rng);
         if seen.contains(&rank) {
             continue;
         }
@@ -106,18 +106,19 @@
 }
 
 /// Draws a rank below `length`. One draw in `UNIFORM_EVERY` is uniform, so that an idle
-/// holder of any rank can be found; the others are log-uniform, so that every octave
-/// (power of two) of ranks is equally likely.
-fn draw_rank(draw: usize, length: usize, octaves: f32, rng: &mut Pcg64Mcg) -> u32 {
+/// holder of any rank can be found; the others are log-uniform, so that every
+/// power-of-two range of ranks is equally likely.
+fn draw_rank(draw: usize, length: usize, log2_length: f32, rng: &mut Pcg64Mcg) -> u32 {
     let last = length as u32 - 1;
     if draw.is_multiple_of(UNIFORM_EVERY) {
         return rng.random_range(0..=last);
     }
-    let rank = (rng.random::<f32>() * octaves).exp2() - 1.0;
+    let rank = (rng.random::<f32>() * log2_length).exp2() - 1.0;
     (rank as u32).min(last)
 }
 
-/// Adds candidates from `holders` in order until `found` has `limit` live ones.
+/// Adds candidates from `holders` in order until `found` has `limit` ones without
+/// a penalty.
 fn scan<V: HealthView>(
     holders: &[Holder],
     limit: usize,
@@ -126,13 +127,13 @@
     rng: &mut Pcg64Mcg,
     found: &mut Candidates,
 ) {
-    let mut live = found.iter().filter(|known| known.estimate.penalty_us == 0.0).count();
+    let mut unpenalized = found.iter().filter(|known| known.estimate.penalty_us == 0.0).count();
     for &holder in holders {
-        if live >= limit {
+        if unpenalized >= limit {
             return;
         }
         let Some(candidate) = evaluator.candidate(holder, stats, rng) else { continue };
-        live += usize::from(candidate.estimate.penalty_us == 0.0);
+        unpenalized += usize::from(candidate.estimate.penalty_us == 0.0);
         found.push(candidate);
     }
 }
--- a/mimosashift/src/route/table.rs
+++ b/mimosashift/src/route/table.rs
@@ -6,8 +6,10 @@
 use super::{Distances, Refusal, RouteRequest, Settings};
 use crate::resource::{Layers, Name, Role, Snapshot};
 
-/// Reference request; holders are ranked by the time they add to it when idle.
+/// Prompt tokens of the reference request. Holders are ranked by the time that they add
+/// to this request when idle.
 const REFERENCE_PROMPT_TOKENS: u32 = 512;
+/// Output tokens of the reference request.
 const REFERENCE_OUTPUT_TOKENS: u32 = 128;
 
 /// The endpoints that hold each model's layers in one snapshot, seen from one failure
@@ -19,7 +21,7 @@
     pub(super) settings: Settings,
     pub(super) entries: Vec<Entry>,
     pub(super) by_name: HashMap<Name, u32>,
-    models: HashMap<Name, HashMap<u32, Model>>,
+    models: HashMap<Name, HashMap<u32, ModelVersion>>,
 }
 
 /// An engine endpoint.
@@ -30,9 +32,9 @@
     pub(super) speed: Speed,
 }
 
-/// One version of a pipeline.
+/// One version of a model, as its pipeline configures it.
 #[derive(Debug)]
-pub(super) struct Model {
+pub(super) struct ModelVersion {
     pub(super) layers: u16,
     pub(super) hidden_bytes: u32,
     adapters: Vec<Name>,
@@ -81,7 +83,7 @@
         }
         for ((pipeline, version), holders) in held {
             let Some(spec) = snapshot.pipeline(pipeline) else { continue };
-            let mut model = Model {
+            let mut model = ModelVersion {
                 layers: spec.layers,
                 hidden_bytes: spec.hidden_bytes,
                 adapters: spec.adapters.clone(),
@@ -95,7 +97,7 @@
     }
 
     /// The model that `request` refers to, if its version and adapter exist.
-    pub(super) fn model(&self, request: &RouteRequest<'_>) -> Result<&Model, Refusal> {
+    pub(super) fn model(&self, request: &RouteRequest<'_>) -> Result<&ModelVersion, Refusal> {
         let pipeline = || request.pipeline.clone();
         let versions = self
             .models
@@ -114,7 +116,7 @@
     }
 }
 
-impl Model {
+impl ModelVersion {
     /// Builds boundaries and segments from the ranges that endpoints hold.
     fn index(&mut self, held: &[(u32, Layers)], entries: &[Entry], own: &Name) {
         let valid = held.iter().filter(|(_, layers)| layers.end() <= self.layers);
@@ -148,9 +150,10 @@
     mut ranges: Vec<(u32, Layers)>,
     entries: &[Entry],
     own: &Name,
-    model: &Model,
+    model: &ModelVersion,
 ) -> Vec<(u32, Layers)> {
     let request = RouteRequest {
+        // Placeholders; the estimate does not read the pipeline or the version.
         pipeline: own,
         version: 0,
         prompt_tokens: REFERENCE_PROMPT_TOKENS,
--- a/mimosashift/tests/fleet.rs
+++ b/mimosashift/tests/fleet.rs
@@ -89,7 +89,7 @@
     while begins(&fleet, "a") == "e1" {
         drop(fleet.claim(choose(&fleet, &DEMAND).unwrap(), &DEMAND));
     }
-    assert!(choose(&fleet, &DEMAND).is_ok(), "the other zone is used before this one is full");
+    assert!(choose(&fleet, &DEMAND).is_ok(), "a chain is still found");
 }
 
 #[test]
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn released_claims_leave_nothing_behind() {
+fn released_claim_frees_its_usage() {
     let mut fleet = fleet(two_zones());
     let mut claim = fleet.claim(choose(&fleet, &DEMAND).unwrap(), &DEMAND);
     fleet.finish_prefill(&mut claim);
@@ -195,7 +195,7 @@
 fn hop_is_silent_though_another_stream_progressed_just_before_it_died() {
     let mut fleet = fleet(two_zones());
     let chain = choose(&fleet, &DEMAND).unwrap();
-    // The last event of this stream was at 1,000 ms, that of another at 1,030 ms.
+    // An event of another stream at 1,030 ms counts as progress of its endpoints.
     fleet.record_progress(&chain, None, at(1_030));
     assert_eq!(fleet.silent(&chain, at(1_300)).len(), chain.len());
     assert!(fleet.silent(&chain, at(1_060)).is_empty());
@@ -343,9 +343,9 @@
 }
 
 #[test_case(2, 300 => 0; "one or two streams may pause")]
-#[test_case(3, 100 => 0; "no longer than the usual interval")]
+#[test_case(3, 100 => 0; "shorter than the stall timeout")]
 #[test_case(3, 130 => 2; "every hop of the chain")]
-fn silent_endpoints_in_use_are_detected(streams: usize, silent_ms: u64) -> usize {
+fn stalled_endpoints_are_detected(streams: usize, silent_ms: u64) -> usize {
     let (mut fleet, chain) = with_active_streams(streams);
     fleet.record_progress(&chain, Some(Duration::from_millis(80)), at(1_000));
     fleet.stalled(at(1_000 + silent_ms)).len()
--- a/mimosashift/tests/layout.rs
+++ b/mimosashift/tests/layout.rs
@@ -111,9 +111,9 @@
         converge(&engine, &mut left);
         let mut tokens = tokens(&engine, &left)[&*zone].clone();
         let gap = tokens.iter().filter(|tokens| **tokens == 0.0).count();
-        assert!(gap <= 10, "without {lost}: {gap}");
+        assert!(gap <= 10, "after loss of endpoint {lost}: {gap} layers missing");
         tokens.retain(|tokens| *tokens > 0.0);
-        assert!(least(&tokens) >= 40_000.0, "without {lost}: {}", least(&tokens));
+        assert!(least(&tokens) >= 40_000.0, "after loss of endpoint {lost}: {}", least(&tokens));
     }
 }
 
@@ -127,7 +127,7 @@
         let zones = tokens(&engine, &left);
         for layer in 0..80 {
             let zones = zones.values().filter(|tokens| tokens[layer] >= 130_000.0).count();
-            assert!(zones >= 2, "without {lost}: layer {layer}");
+            assert!(zones >= 2, "after loss of endpoint {lost}: layer {layer}");
         }
     }
 }
@@ -152,11 +152,12 @@
     converge(&engine, &mut endpoints);
     let zones = tokens(&engine, &endpoints);
     let both: Vec<_> = zones["a"].iter().zip(&zones["b"]).map(|(a, b)| a + b).collect();
+    // A capacity of 1 marks a holder without memory for requests.
     assert!(least(&both) > 1.0, "{both:?}");
 }
 
 #[test]
-fn endpoint_in_use_is_not_widened_beyond_what_it_needs() {
+fn full_endpoint_is_not_widened() {
     let engine = engine();
     let mut endpoints = zone("a", [2, 4, 4], 0);
     converge(&engine, &mut endpoints);
--- a/mimosashift/tests/route.rs
+++ b/mimosashift/tests/route.rs
@@ -19,7 +19,7 @@
 use test_case::test_case;
 
 /// Maximum mean ratio of the cost of a choice to that of the best chain.
-const MAX_MEAN_RATIO: f64 = 1.10;
+const MAX_MEAN_COST_RATIO: f64 = 1.10;
 
 const NOW: Instant = Instant::from_millis(1_000);
 
@@ -182,7 +182,7 @@
         ratios.len()
     );
     std::io::Write::write_all(&mut std::io::stdout(), text.as_bytes()).unwrap();
-    assert!(mean <= MAX_MEAN_RATIO, "{text}");
+    assert!(mean <= MAX_MEAN_COST_RATIO, "{text}");
     assert!(ratios.iter().all(|&ratio| ratio > 0.9999), "cheaper than the best chain: {text}");
 }
 
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn sampled_cost_against_every_chain_with_overlaps() {
+fn sampled_cost_is_near_that_of_best_chain_with_overlaps() {
     let scenarios = (0..60).filter_map(|seed| {
         Some((seed, with_full_coverage(Scenario::overlapping(5, 24, &mut rng(seed)))?))
     });
@@ -218,14 +218,14 @@
 }
 
 #[test]
-fn sampled_cost_against_every_chain_with_replicas() {
+fn sampled_cost_is_near_that_of_best_chain_with_replicas() {
     let scenarios = (0..60).map(|seed| (seed, Scenario::aligned(3, 50, 3, &mut rng(seed))));
     let ratios: Vec<f64> = scenarios.map(|(seed, scenario)| ratio(&scenario, seed)).collect();
     report("50 replicas of 3 stages", &ratios);
 }
 
 #[test]
-fn sampled_cost_against_exact_search_at_1000_replicas() {
+fn sampled_cost_is_near_that_of_exact_search_at_1000_replicas() {
     let mut ratios = Vec::new();
     for seed in 0..20 {
         let (pipeline, mut rng) = (name("p"), rng(seed));
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn sampled_cost_against_exact_search_in_a_fragmented_fleet() {
+fn sampled_cost_is_near_that_of_exact_search_with_individual_ranges() {
     let mut ratios = Vec::new();
     for seed in 0..10 {
         let (pipeline, mut rng) = (name("p"), rng(seed));
@@ -270,6 +270,7 @@
                 condition.availability = Availability::Leaving;
             }
         }
+        // 4 stages, with 2 draws per candidate.
         let bound = 4 * scenario.settings.candidates as u32 * 2;
         for choice in scenario.choose_many(&route_request(&pipeline), 200, &mut rng) {
             let evaluations = choice.unwrap().stats.evaluations;
@@ -297,7 +298,7 @@
 
 #[test_case(0, "local"; "stays in its own domain when idle")]
 #[test_case(15, "local"; "stays while a slot is free")]
-#[test_case(60, "remote"; "spills over when the queue costs more than the domain latency")]
+#[test_case(60, "remote"; "uses another domain when the queue costs more than the domain latency")]
 fn own_domain_is_preferred(sequences: u32, expected: &str) {
     let (pipeline, mut rng) = (name("p"), rng(1));
     let mut scenario = Scenario::new(1);
@@ -310,7 +311,7 @@
 }
 
 #[test]
-fn returning_endpoint_gets_little_work_at_first() {
+fn returning_endpoint_gets_little_work_unless_the_other_is_slow() {
     let (pipeline, mut rng) = (name("p"), rng(1));
     let mut scenario = Scenario::new(1);
     scenario.engine("fast", 0, (0, 1), 50, 100);
@@ -466,6 +467,7 @@
     let choice = scenario
         .choose(&RouteRequest { prefixes: &prefixes, ..route_request(&pipeline) }, &mut rng(1))
         .unwrap();
+    // 6 in the search without cache, and 1 in each of the 4 searches for a prefix.
     assert!(choice.stats.evaluations <= 6 + 4, "{:?}", choice.stats);
 }
 
