--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -252,7 +252,9 @@
         let now = clock::now();
         let fleet = self.state.fleet.borrow();
         let mut members = fleet.members().filter(|m| &*m.endpoint.service == service);
-        members.any(|member| member.reappeared_at().is_some_and(|at| now.since(at) < RETURN_PERIOD))
+        members.any(|member| {
+            member.joined_with_layers_at().is_some_and(|at| now.since(at) < RETURN_PERIOD)
+        })
     }
 
     fn plan_moves(&self, service: &str, engine: &Engine) -> Vec<Assignment> {
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -99,7 +99,7 @@
     /// Share of recent answers that failed.
     failure_rate: f64,
     /// When it joined the directory, if it already held layers then.
-    reappeared_at: Option<Instant>,
+    joined_with_layers_at: Option<Instant>,
     /// When its directory entry was first missing. Set only while a directory read is
     /// applied.
     missing_since: Option<Instant>,
@@ -173,7 +173,7 @@
 impl Member {
     fn new(endpoint: Endpoint, now: Instant) -> Self {
         Self {
-            reappeared_at: endpoint.layers.map(|_| now),
+            joined_with_layers_at: endpoint.layers.map(|_| now),
             endpoint,
             own_usage: Usage::default(),
             peer_usage: Usage::default(),
@@ -258,8 +258,8 @@
     }
 
     /// When it joined the directory, if it already held layers then.
-    pub const fn reappeared_at(&self) -> Option<Instant> {
-        self.reappeared_at
+    pub const fn joined_with_layers_at(&self) -> Option<Instant> {
+        self.joined_with_layers_at
     }
 
     /// KV cache in use, tokens x layers.
