--- a/mimosashift/src/fleet/chain.rs
+++ b/mimosashift/src/fleet/chain.rs
@@ -170,8 +170,9 @@
         let is_cache_full = now < member.cache_full_until;
         let usable = if is_cache_full { 0.0 } else { capacity * USABLE_CACHE_SHARE };
         let free = (usable - f64::from(usage.cache)).max(0.0);
-        let prefill_ms_per_token = card.prefill_factor / engine.prefill_tokens_per_ms * member.pace;
-        let step_ms = engine.step_ms * card.decode_factor * member.pace;
+        let prefill_ms_per_token =
+            card.prefill_factor / engine.prefill_tokens_per_ms * member.slowdown;
+        let step_ms = engine.step_ms * card.decode_factor * member.slowdown;
         let work_ms = demand.prompt * prefill_ms_per_token + demand.output * step_ms;
         let iteration_ms =
             f64::from(engine.tokens_per_event) * step_ms * f64::from(layers.count()) / layer_count;
--- a/mimosashift/src/fleet/mod.rs
+++ b/mimosashift/src/fleet/mod.rs
@@ -75,7 +75,7 @@
     /// Usage by all peers.
     peer_usage: Usage,
     /// Reported slowdown relative to the nominal speed of its card; 1 is nominal.
-    pace: f64,
+    slowdown: f64,
     /// Heartbeat number of the directory entry at the time of the latest report. An
     /// entry with this number is older than the report, so its layers are ignored.
     heartbeat_at_report: Option<u64>,
@@ -177,7 +177,7 @@
             endpoint,
             own_usage: Usage::default(),
             peer_usage: Usage::default(),
-            pace: 1.0,
+            slowdown: 1.0,
             heartbeat_at_report: None,
             observed_at: Instant::ZERO,
             last_progress: now,
@@ -203,11 +203,11 @@
         if self.dead_since.is_some_and(|since| since < at) {
             self.dead_since = None;
         }
-        let pace = f64::from(observation.pace);
+        let slowdown = f64::from(observation.pace);
         let changed = self.endpoint.layers != observation.layers
-            || (self.pace - pace).abs() > MIN_ANNOUNCED_SLOWDOWN_CHANGE;
+            || (self.slowdown - slowdown).abs() > MIN_ANNOUNCED_SLOWDOWN_CHANGE;
         self.endpoint.layers = observation.layers;
-        self.pace = pace;
+        self.slowdown = slowdown;
         self.heartbeat_at_report = Some(self.endpoint.heartbeat);
         changed
     }
@@ -230,7 +230,7 @@
     /// Whether its slowdown has reached `SLOW_THRESHOLD`. It is then used only if some
     /// layer has no usable holder.
     pub fn is_slow(&self) -> bool {
-        self.pace >= SLOW_THRESHOLD
+        self.slowdown >= SLOW_THRESHOLD
     }
 
     /// Usage by this router and its peers.
@@ -253,8 +253,8 @@
     }
 
     /// Reported slowdown relative to the nominal speed of its card; 1 is nominal.
-    pub const fn pace(&self) -> f64 {
-        self.pace
+    pub const fn slowdown(&self) -> f64 {
+        self.slowdown
     }
 
     /// When it joined the directory, if it already held layers then.
