--- a/mimosabench/src/policy/router.rs
+++ b/mimosabench/src/policy/router.rs
@@ -27,7 +27,7 @@
 
 /// Size of the table of cached prefixes, which no request names here.
 const AFFINITY: affinity::Settings =
-    affinity::Settings { prefixes: 16, expiry: Duration::from_secs(300) };
+    affinity::Settings { max_prefixes: 16, expiry: Duration::from_secs(300) };
 
 /// One router.
 pub struct Router {
--- a/mimosabench/src/slopes/choice.rs
+++ b/mimosabench/src/slopes/choice.rs
@@ -44,7 +44,7 @@
 
 /// Bytes that a full index of so many prefixes holds.
 pub fn index_bytes(prefixes: usize) -> f64 {
-    let settings = affinity::Settings { prefixes, expiry: Duration::from_secs(300) };
+    let settings = affinity::Settings { max_prefixes: prefixes, expiry: Duration::from_secs(300) };
     let holders: Vec<_> =
         (0..affinity::MAX_HOLDERS).map(|n| fleet::name(&format!("engine-{n:04}"))).collect();
     let full = || {
--- a/mimosashift/src/node/mod.rs
+++ b/mimosashift/src/node/mod.rs
@@ -70,7 +70,7 @@
 
 /// Bound on what is remembered of engines' prefix caches: a few MB.
 const AFFINITY: affinity::Settings =
-    affinity::Settings { prefixes: 16_384, expiry: Duration::from_secs(300) };
+    affinity::Settings { max_prefixes: 16_384, expiry: Duration::from_secs(300) };
 
 /// The shared tables of a router.
 ///
--- a/mimosashift/src/route/affinity.rs
+++ b/mimosashift/src/route/affinity.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Maximum number of prefixes stored.
-    pub prefixes: usize,
+    pub max_prefixes: usize,
     /// Time after which an entry without a new event expires.
     pub expiry: Duration,
 }
@@ -123,7 +123,7 @@
 
     fn store_one(&mut self, endpoint: &Name, hash: u64, now: Instant) {
         if !self.young.contains_key(&hash) {
-            if self.young.len() >= (self.settings.prefixes / 2).max(1) {
+            if self.young.len() >= (self.settings.max_prefixes / 2).max(1) {
                 self.old = std::mem::take(&mut self.young);
             }
             let known = self.old.remove(&hash).unwrap_or_default();
@@ -185,6 +185,6 @@
 
 impl Default for Affinity {
     fn default() -> Self {
-        Self::new(Settings { prefixes: 8_192, expiry: Duration::from_secs(600) })
+        Self::new(Settings { max_prefixes: 8_192, expiry: Duration::from_secs(600) })
     }
 }
--- a/mimosashift/tests/route.rs
+++ b/mimosashift/tests/route.rs
@@ -474,7 +474,7 @@
 #[test]
 fn affinity_confidence_drops_with_age_and_after_a_gap() {
     let mut affinity =
-        Affinity::new(affinity::Settings { prefixes: 8, expiry: Duration::from_secs(100) });
+        Affinity::new(affinity::Settings { max_prefixes: 8, expiry: Duration::from_secs(100) });
     let e = name("e");
     let confidence = |affinity: &Affinity, hash, second: u64| {
         let now = Instant::from_millis(second * 1_000);
@@ -497,7 +497,7 @@
 #[test]
 fn affinity_memory_is_bounded() {
     let mut affinity =
-        Affinity::new(affinity::Settings { prefixes: 100, expiry: Duration::from_secs(100) });
+        Affinity::new(affinity::Settings { max_prefixes: 100, expiry: Duration::from_secs(100) });
     for round in 0..5_000_u64 {
         affinity.store(&name(&format!("e{}", round % 50)), &[round / 50, round], NOW);
         assert!(affinity.len() <= 100, "{}", affinity.len());
