--- a/mimosashift/src/route/chain.rs
+++ b/mimosashift/src/route/chain.rs
@@ -11,11 +11,11 @@
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
         /// A layer is skipped, run twice or out of order.
-        Gap { expected: u16, found: u16 } {
+        NotContiguous { expected: u16, found: u16 } {
             display("stage starts at layer {}, must start at layer {}", found, expected)
         }
         /// The last stage does not end with the model's last layer.
-        Short { end: u16, layers: u16 } {
+        WrongEnd { end: u16, layers: u16 } {
             display("chain ends at layer {}, must end at layer {}", end, layers)
         }
     }
@@ -52,12 +52,12 @@
         for stage in &stages {
             let found = stage.layers.start();
             if found != expected {
-                return Err(Error::Gap { expected, found });
+                return Err(Error::NotContiguous { expected, found });
             }
             expected = stage.layers.end();
         }
         if expected != layers {
-            return Err(Error::Short { end: expected, layers });
+            return Err(Error::WrongEnd { end: expected, layers });
         }
         Ok(Self { pipeline, version, stages })
     }
