--- a/mimosafront/src/directory.rs
+++ b/mimosafront/src/directory.rs
@@ -19,8 +19,8 @@
 /// of two seconds, even if one read is lost.
 const CONFIG_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Interval of endpoint reads: half of the time within which an endpoint that
-/// leaves must get no new work.
+/// Interval of endpoint reads: about half of the time within which an endpoint
+/// that leaves must get no new work.
 const DIRECTORY_INTERVAL: Duration = Duration::from_millis(900);
 
 /// Interval of the checks whether the peer that reads the store on behalf of
@@ -104,7 +104,8 @@
     reader_config.is_some_and(|reader_config| reader_config.revision == state.revision())
 }
 
-/// Whether that peer has recently read the same directory.
+/// Whether the peer that reads the store on behalf of this router has recently
+/// read the same directory; if so, its read counts as a read of this router.
 fn reader_has_same_directory(state: &RouterState, now: Instant) -> bool {
     let peers = state.peers.borrow();
     let Some(peer) = peers.store_reader(&state.node().name, now) else { return false };
@@ -129,7 +130,7 @@
             }
         }
     }
-    if state.deployment.borrow().is_some() {
+    if state.active_config.borrow().is_some() {
         state.confirm(started);
     }
 }
@@ -215,7 +216,8 @@
 }
 
 /// Counts a call to the store and logs when the store becomes unreachable or
-/// reachable again.
+/// reachable again. A call that ends in neither success nor conflict counts as a
+/// failure.
 pub fn record_store_call<T>(state: &RouterState, call: PlatformCall, outcome: &Outcome<T>) {
     let now = clock::now();
     let label = match outcome {
@@ -227,9 +229,9 @@
         Outcome::Unknown => CallOutcome::Unknown,
     };
     state.meter.table_calls(1, call, label);
-    let answered = matches!(label, CallOutcome::Done | CallOutcome::Conflict);
+    let is_success = matches!(label, CallOutcome::Done | CallOutcome::Conflict);
     let last_answer = state.last_store_answer.get();
-    if answered {
+    if is_success {
         if state.store_lost.replace(false) {
             let outage_ms = last_answer.map(|at| millis(now.since(at)));
             emit!(state.log, Event::StoreAvailable, "away_ms" => outage_ms);
--- a/mimosafront/src/gossip.rs
+++ b/mimosafront/src/gossip.rs
@@ -17,8 +17,9 @@
 use crate::state::RouterState;
 use crate::{clock, probe};
 
-/// Interval at which peers that are due a digest are determined.
-const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval of the checks for peers to which a digest is due; also the delay
+/// after a failed accept.
+const SEND_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Largest datagram that is accepted.
 const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
@@ -29,21 +30,20 @@
 /// Minimum time between two fetches.
 const MIN_FETCH_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Largest configuration that is fetched; the rows of the store are far
-/// smaller.
+/// Largest configuration that is fetched; those in the store are far smaller.
 const MAX_CONFIG_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Age of the last store answer above which a configuration is fetched from a
 /// peer.
 const STORE_STALE_AFTER: Duration = Duration::from_millis(1_200);
 
-/// Time for which a change of an endpoint is gossiped to peers.
+/// Time for which a change seen in an endpoint's report is included in digests.
 const OBSERVATION_TTL: Duration = Duration::from_secs(3);
 
 /// Exchanges digests until the router exits.
-pub async fn exchange(state: Rc<RouterState>, socket: UdpSocket) {
+pub async fn run(state: Rc<RouterState>, socket: UdpSocket) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    let mut tick = tokio::time::interval(TICK_INTERVAL);
+    let mut tick = tokio::time::interval(SEND_CHECK_INTERVAL);
     let mut last_fetch = Instant::ZERO;
     loop {
         tokio::select! {
@@ -130,6 +130,7 @@
         mimosashift::peer::Event::Renewed => {}
     }
     state.fleet.borrow_mut().merge_digest(&digest.node, &digest.usage, now);
+    // The digest may show free memory at an endpoint.
     state.memory_released.notify_one();
     for seen in &digest.observed {
         let changed = state.fleet.borrow_mut().apply_observation(seen, now);
@@ -141,8 +142,8 @@
     apply_config(state, &digest, from, now, last_fetch);
 }
 
-/// Probes the endpoints that a peer reports dead, if this router uses them or
-/// places their layers.
+/// Probes the endpoints that a peer reports dead, if the peer is in the own zone
+/// or this router places layers.
 fn probe_reported_dead(state: &Rc<RouterState>, digest: &Digest) {
     if !state.holds_placement_lease.get() && digest.zone != state.node().zone {
         return;
@@ -219,10 +220,10 @@
 pub async fn serve_config(state: Rc<RouterState>, listener: TcpListener) {
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
-            tokio::time::sleep(TICK_INTERVAL).await;
+            tokio::time::sleep(SEND_CHECK_INTERVAL).await;
             continue;
         };
-        let active = state.deployment.borrow().clone();
+        let active = state.active_config.borrow().clone();
         tokio::task::spawn_local(async move {
             let Some(active) = active else { return };
             let sent = async {
--- a/mimosafront/src/lib.rs
+++ b/mimosafront/src/lib.rs
@@ -1,6 +1,7 @@
-//! The router daemon: an event loop on the users' platform.
+//! The router daemon: sockets, clocks, tasks and their event loop.
 //!
-//! Owns the sockets, clocks and tasks; all decisions are made in `mimosashift`.
+//! The routing and placement algorithms are in `mimosashift`; retries, stall
+//! handling and denials are decided here.
 //! State is shared within one thread, and no borrow of it is held across an
 //! await. See `docs/design/deployment.md`, "The shell".
 
--- a/mimosafront/src/main.rs
+++ b/mimosafront/src/main.rs
@@ -1,4 +1,4 @@
-//! The router daemon for the users' platform.
+//! The router daemon.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
 /// Exit code when the router fails to start.
 const EXIT_START_FAILED: u8 = 1;
 
-/// Exit code when the settings are invalid.
+/// Exit code when the settings cannot be read or are invalid.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// Exit code when the shutdown grace period ended with requests still in
--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mimosaplatform::engine as wire;
+use mimosaplatform::engine as engine_protocol;
 use mimosashift::deployment::Engine;
 use mimosashift::emit;
 use mimosashift::event::Event;
@@ -30,15 +30,16 @@
 /// Interval of lease checks.
 const LEASE_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Duration of the lease: bounds the time without a leader when a holder dies
-/// and no peer notices.
+/// Duration of the lease: bounds the time without a lease holder if the holder
+/// dies and no peer notices.
 const LEASE_DURATION: Duration = Duration::from_secs(8);
 
 /// Time before the lease expires in which no orders are sent.
 const LEASE_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// Time, on top of a heartbeat interval, without a new endpoint before the
-/// first plan, so that the plan covers all of them: one read of the directory.
+/// Time without a new endpoint, in addition to a heartbeat interval, before
+/// layers are first placed, so that the plan covers all endpoints: one read of
+/// the directory.
 const SETTLE_PERIOD: Duration = Duration::from_millis(1_000);
 
 /// Time after an endpoint that holds layers has reappeared before the next
@@ -48,8 +49,8 @@
 /// Time limit for the answer to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time after an unanswered order before its endpoint is asked whether to
-/// repeat it; an order may be executed late, and its sequence number prevents a
+/// Minimum time between two sends of an order that the endpoint has not
+/// executed; an order may be executed late, and its sequence number prevents a
 /// second execution.
 const ORDER_REPEAT_DELAY: Duration = Duration::from_millis(900);
 
@@ -69,22 +70,23 @@
     state: Rc<RouterState>,
     lease: Option<Lease>,
     pending: HashMap<Arc<str>, PendingOrder>,
-    /// Number of endpoints at the last plan for empty ones, and when it last
-    /// changed.
-    settled: (usize, Instant),
+    /// Number of endpoints of the service that `is_settled` last checked, and when
+    /// it last changed; shared by all services.
+    endpoint_count: (usize, Instant),
 }
 
 /// Keeps layers placed until the router exits.
 pub async fn run(state: Rc<RouterState>) {
     let lease = new_lease(&state);
-    let mut placer = Placer { state, lease, pending: HashMap::new(), settled: (0, Instant::ZERO) };
-    let mut lease_at = Instant::ZERO;
+    let mut placer =
+        Placer { state, lease, pending: HashMap::new(), endpoint_count: (0, Instant::ZERO) };
+    let mut next_lease_check = Instant::ZERO;
     loop {
         tokio::time::sleep(PLAN_INTERVAL).await;
         let now = clock::now();
-        if now >= lease_at {
-            lease_at = now + LEASE_INTERVAL;
-            placer.renew_lease().await;
+        if now >= next_lease_check {
+            next_lease_check = now + LEASE_INTERVAL;
+            placer.update_lease().await;
         }
         if placer.may_order() {
             placer.probe_dead();
@@ -110,14 +112,15 @@
 
 impl Placer {
     /// Whether orders may be sent now. Endpoints refuse an order with a wrong
-    /// sequence number, so a lease that was taken over early is harmless.
+    /// sequence number, so two routers that both hold the lease for a while do no
+    /// harm.
     fn may_order(&self) -> bool {
         let authority = self.lease.as_ref().and_then(|l| l.authorize(true, clock::now()));
         authority.is_some() && !self.state.stopping.get() && !self.defers_to_peer()
     }
 
-    /// Whether another router should lead because this one does not see which
-    /// endpoints come and go.
+    /// Whether another router should hold the lease because this one has lost the
+    /// store, and with it the endpoint directory, and a peer reaches it.
     fn defers_to_peer(&self) -> bool {
         let now = clock::now();
         let last_answer = self.state.last_store_answer.get();
@@ -125,18 +128,20 @@
         self.state.store_lost.get() && is_stale && self.state.peers.borrow().reaches_store(now)
     }
 
-    async fn renew_lease(&mut self) {
+    /// Acquires, renews or takes over the lease, unless a peer holds it or is to
+    /// hold it.
+    async fn update_lease(&mut self) {
         let state = self.state.clone();
         let now = clock::now();
         let held = self.lease.as_ref().is_some_and(|lease| lease.authorize(true, now).is_some());
-        let peer_leads =
+        let peer_is_holder =
             state.peers.borrow().alive(now).any(|peer| peer.digest.holds_placement_lease);
-        if state.stopping.get() || (!held && peer_leads) {
-            self.set_leader(held && !state.stopping.get());
+        if state.stopping.get() || (!held && peer_is_holder) {
+            self.set_lease_holder(held && !state.stopping.get());
             return;
         }
         if self.defers_to_peer() {
-            self.set_leader(false);
+            self.set_lease_holder(false);
             return;
         }
         let Some(lease) = &mut self.lease else { return };
@@ -159,15 +164,15 @@
             lease.on_write_result(&outcome, clock::now());
         }
         let may_order = self.may_order();
-        self.set_leader(may_order);
+        self.set_lease_holder(may_order);
     }
 
-    fn set_leader(&mut self, leads: bool) {
-        if self.state.holds_placement_lease.replace(leads) == leads {
+    fn set_lease_holder(&mut self, is_holder: bool) {
+        if self.state.holds_placement_lease.replace(is_holder) == is_holder {
             return;
         }
-        self.state.meter.leases(u64::from(leads));
-        if leads {
+        self.state.meter.leases(u64::from(is_holder));
+        if is_holder {
             let token = self.lease.as_ref().and_then(|l| l.authorize(true, clock::now()));
             emit!(self.state.log, Event::LeaseAcquired, "fencing_token" => token.map(|n| n.0));
         } else {
@@ -238,7 +243,7 @@
             if moves.is_empty() {
                 continue;
             }
-            if self.all_empty(&service.name) && !self.is_settled(&service.name) {
+            if self.holds_no_layers(&service.name) && !self.is_settled(&service.name) {
                 continue;
             }
             for planned in moves {
@@ -261,10 +266,11 @@
         let fleet = self.state.fleet.borrow();
         let members = fleet
             .members()
-            // Layers of slow or dead endpoints are placed elsewhere as well.
+            // Slow endpoints, and those that have been dead for long, do not
+            // count as holders, so their layers are placed elsewhere.
             .filter(|m| &*m.endpoint.service == service && m.takes_work() && !m.is_slow())
             .filter(|m| !fleet.is_lost(m, now));
-        let place = |member: &Member| {
+        let to_state = |member: &Member| {
             let endpoint = &member.endpoint;
             let pending = self.pending.get(&endpoint.id);
             Some(EndpointState {
@@ -276,25 +282,26 @@
                 busy: pending.is_some(),
             })
         };
-        let places: Vec<_> = members.filter_map(place).collect();
-        layout::plan(engine, &places)
+        let states: Vec<_> = members.filter_map(to_state).collect();
+        layout::plan(engine, &states)
     }
 
-    fn all_empty(&self, service: &str) -> bool {
+    /// Whether no endpoint of the service holds layers.
+    fn holds_no_layers(&self, service: &str) -> bool {
         let fleet = self.state.fleet.borrow();
         let mut members = fleet.members().filter(|m| &*m.endpoint.service == service);
         members.all(|member| member.endpoint.layers.is_none())
     }
 
-    /// Whether no endpoint has joined recently.
+    /// Whether the number of endpoints of the service has not changed recently.
     fn is_settled(&mut self, service: &str) -> bool {
         let now = clock::now();
         let fleet = self.state.fleet.borrow();
         let count = fleet.members().filter(|m| &*m.endpoint.service == service).count();
-        if self.settled.0 != count {
-            self.settled = (count, now);
+        if self.endpoint_count.0 != count {
+            self.endpoint_count = (count, now);
         }
-        now.since(self.settled.1) >= self.state.node().heartbeat + SETTLE_PERIOD
+        now.since(self.endpoint_count.1) >= self.state.node().heartbeat + SETTLE_PERIOD
     }
 
     async fn start_move(&mut self, planned: Assignment) {
@@ -319,18 +326,21 @@
         self.send_order(&hop, report.orders_started).await;
     }
 
-    async fn send_order(&mut self, hop: &Hop, after: u64) {
+    /// Sends an order to an endpoint that has started `orders_started` orders,
+    /// which the endpoint refuses if it has started another one since.
+    async fn send_order(&mut self, hop: &Hop, orders_started: u64) {
         let authority = self.lease.as_ref().and_then(|l| l.authorize(true, clock::now()));
         let Some(token) = authority else { return };
-        let order = Order::Place { layers: hop.layers, after, fencing_token: token.0 };
-        let call = wire::order_request(hop.address, &hop.id, &order);
+        let order =
+            Order::Place { layers: hop.layers, after: orders_started, fencing_token: token.0 };
+        let call = engine_protocol::order_request(hop.address, &hop.id, &order);
         let state = self.state.clone();
         state.meter.orders(1);
-        emit!(state.log, Event::OrderSent, "endpoint" => &*hop.id, "layers" => hop.layers.to_string(), "after" => after, "fencing_token" => token.0);
+        emit!(state.log, Event::OrderSent, "endpoint" => &*hop.id, "layers" => hop.layers.to_string(), "after" => orders_started, "fencing_token" => token.0);
         let response = async {
             let mut exchange = state.pool.send(hop.address, call, false).await.ok()?;
             let body = exchange.collect(64 * 1024).await.ok()?;
-            Some(wire::order_outcome(exchange.head.status(), &body))
+            Some(engine_protocol::order_outcome(exchange.head.status(), &body))
         };
         match timeout(ORDER_TIMEOUT, response).await.ok().flatten() {
             Some(OrderOutcome::Taken) => {}
--- a/mimosafront/src/probe.rs
+++ b/mimosafront/src/probe.rs
@@ -17,16 +17,16 @@
 use crate::clock;
 use crate::state::RouterState;
 
-/// Time limit for a report: some round trips between zones, and a busy
-/// endpoint.
+/// Time limit for a report: allows for several round trips between zones and for
+/// a busy endpoint.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Interval at which each engine of the own zone is asked for a report.
 const REPORT_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time for which only a pooled connection, which may have gone silent, is
-/// tried: several times what a report takes.
-const POOLED_HEAD_START: Duration = Duration::from_millis(40);
+/// Delay after which a probe also tries a new connection, since the pooled one
+/// may be dead: several times the usual response time of a report.
+const NEW_CONNECTION_DELAY: Duration = Duration::from_millis(40);
 
 /// Time limit for a new connection and a report over it, after which an
 /// endpoint counts as dead: a hundred round trips within a zone.
@@ -35,9 +35,9 @@
 /// Extra time for reading a response that has already arrived.
 const LATE_READ_GRACE: Duration = Duration::from_millis(15);
 
-/// Interval of the checks for endpoints that have gone silent: a fraction of
-/// the usual time between two events.
-const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// Interval of the checks for endpoints whose streams have stalled: a fraction of
+/// the usual time between two events of a stream.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Time for which the result of a probe is shared by all requests that need it.
 const PROBE_RESULT_TTL: Duration = Duration::from_millis(400);
@@ -74,12 +74,12 @@
     result.get_or_init(|| probe_liveness(state, hop)).await.clone()
 }
 
-/// Tries a pooled connection first and soon a new one beside it; if neither
-/// brings a response, the endpoint is dead.
+/// Tries a pooled connection and, after a delay, a new one in parallel. The
+/// endpoint is marked dead if the new one fails before either returns a report.
 async fn probe_liveness(state: &Rc<RouterState>, hop: &Hop) -> ProbeResult {
     let pooled = request_report(state, hop, false, REPORT_TIMEOUT);
     let fresh = async {
-        sleep(POOLED_HEAD_START).await;
+        sleep(NEW_CONNECTION_DELAY).await;
         request_report(state, hop, true, FRESH_PROBE_TIMEOUT).await
     };
     let (mut pooled, mut fresh) = (std::pin::pin!(pooled), std::pin::pin!(fresh));
@@ -97,12 +97,12 @@
     }
 }
 
-/// Probes endpoints that go silent, those that close a connection, and
+/// Probes endpoints whose streams stall, those that close a connection, and
 /// periodically those that are marked dead.
 pub async fn watch_liveness(state: Rc<RouterState>) {
     loop {
         let closed = tokio::select! {
-            () = sleep(SILENCE_CHECK_INTERVAL) => Vec::new(),
+            () = sleep(STALL_CHECK_INTERVAL) => Vec::new(),
             closed = state.pool.closed_addresses() => closed,
         };
         let hops = {
@@ -124,18 +124,18 @@
 async fn request_report(
     state: &Rc<RouterState>,
     hop: &Hop,
-    fresh: bool,
-    time: Duration,
+    new_connection: bool,
+    time_limit: Duration,
 ) -> Result<Report, String> {
     let call = engine::report_request(hop.address);
     let exchange = async {
         let mut exchange =
-            state.pool.send(hop.address, call, fresh).await.map_err(|e| e.to_string())?;
+            state.pool.send(hop.address, call, new_connection).await.map_err(|e| e.to_string())?;
         let body = exchange.collect(MAX_REPORT_BYTES).await.map_err(|e| e.to_string())?;
         engine::decode_report(&body).map_err(|e| e.to_string())
     };
     let mut exchange = std::pin::pin!(exchange);
-    let report = match timeout(time, &mut exchange).await {
+    let report = match timeout(time_limit, &mut exchange).await {
         Ok(report) => report?,
         // If this router itself was delayed, a response may be waiting unread.
         Err(_) => match timeout(LATE_READ_GRACE, &mut exchange).await {
--- a/mimosafront/src/readiness.rs
+++ b/mimosafront/src/readiness.rs
@@ -20,7 +20,7 @@
     if state.stopping.get() {
         return Some("stopping");
     }
-    if state.deployment.borrow().is_none() {
+    if state.active_config.borrow().is_none() {
         return Some("no configuration");
     }
     if !state.keys_are_current() {
--- a/mimosafront/src/relay/mod.rs
+++ b/mimosafront/src/relay/mod.rs
@@ -26,20 +26,21 @@
 mod model;
 mod plain;
 
-/// Retry-After while the router has no configuration or must not accept keys:
-/// both are checked several times a second.
-const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Retry-After of refusals that are not caused by load, such as a missing
+/// configuration or keys that may not be accepted: both are checked several
+/// times a second.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Time limit for confirming the configuration before a request is denied or
-/// refused for lack of it: a few round trips to the store.
+/// Time limit for confirming the configuration before a request is rejected: a
+/// few round trips to the store.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Age of the configuration up to which a route or key may be called unknown
-/// without confirming it first.
+/// Age of the configuration up to which a route or key may be rejected as
+/// unknown without confirming the configuration first.
 const FRESH_CONFIG_AGE: Duration = Duration::from_millis(250);
 
-/// Age of the configuration up to which a route or key may be called unknown if
-/// confirming it fails: within the two seconds in which a configuration must
+/// Age of the configuration up to which a route or key may be rejected as
+/// unknown if confirming the configuration fails: within the two seconds in which a configuration must
 /// take effect.
 const MAX_DENIAL_CONFIG_AGE: Duration = Duration::from_millis(1_500);
 
@@ -111,7 +112,8 @@
         request
     }
 
-    /// Whether a response belongs to this request.
+    /// Whether a response may belong to this request: it has the request's id, or
+    /// has no id and is not successful.
     fn is_answered_by(&self, info: &AnswerInfo, status: StatusCode) -> bool {
         match &info.id {
             Some(id) => **id == *self.id,
@@ -195,10 +197,10 @@
     let service = service.ok_or(RequestError::Refused(
         RefusalReason::NoEndpoint,
         "service is not declared",
-        NOT_READY_RETRY_AFTER,
+        DEFAULT_RETRY_AFTER,
     ))?;
     state.count_request(&service.name);
-    let wait = info.timeout.map_or(route.timeout, |wait| wait.min(route.timeout));
+    let time_limit = info.timeout.map_or(route.timeout, |limit| limit.min(route.timeout));
     Ok(RequestContext {
         state: state.clone(),
         id: info.id,
@@ -212,7 +214,7 @@
         tokens: info.tokens,
         last_event: info.last_event,
         arrived,
-        deadline: arrived + wait,
+        deadline: arrived + time_limit,
         _in_flight_guard: in_flight,
     })
 }
@@ -227,22 +229,25 @@
     path.map_or_else(Uri::default, Uri::from)
 }
 
-async fn read_body(body: Incoming, limit: usize, time: Duration) -> Result<Bytes, RequestError> {
+async fn read_body(
+    body: Incoming,
+    limit: usize,
+    time_limit: Duration,
+) -> Result<Bytes, RequestError> {
     let collected = Limited::new(body, limit).collect();
-    match tokio::time::timeout(time, collected).await {
+    match tokio::time::timeout(time_limit, collected).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             Err(RequestError::Denied(StatusCode::PAYLOAD_TOO_LARGE, "body too large"))
         }
         Ok(Err(_)) => Err(RequestError::Denied(StatusCode::BAD_REQUEST, "body broke off")),
-        Err(_) => Err(RequestError::Refused(
-            RefusalReason::Invalid,
-            "body too slow",
-            NOT_READY_RETRY_AFTER,
-        )),
+        Err(_) => {
+            Err(RequestError::Refused(RefusalReason::Invalid, "body too slow", DEFAULT_RETRY_AFTER))
+        }
     }
 }
 
+/// A configuration, the route of a request in it, and the name of its team.
 type ResolvedRoute = (Rc<Deployment>, Arc<Route>, Option<String>);
 
 /// Resolves the route and team of a request against a configuration that is
@@ -254,7 +259,7 @@
     key: Option<&str>,
 ) -> Result<ResolvedRoute, RequestError> {
     let not_ready =
-        |reason| Err(RequestError::Refused(RefusalReason::NotReady, reason, NOT_READY_RETRY_AFTER));
+        |reason| Err(RequestError::Refused(RefusalReason::NotReady, reason, DEFAULT_RETRY_AFTER));
     let resolved = lookup(state, host, path, key);
     let (resolved, fresh) = match resolved {
         Some(Ok(resolved)) if resolved.1.public || state.keys_are_current() => return Ok(resolved),
@@ -271,10 +276,12 @@
         resolved
     } else {
         state.config_refresh.notify_one();
-        // If this times out, the installed configuration decides.
+        // If this times out, the installed configuration is used unless it is
+        // too old.
         drop(tokio::time::timeout(CONFIRMATION_TIMEOUT, state.config_confirmed.notified()).await);
         let age = state.config_freshness.get().age(clock::now());
-        if age.is_none_or(|age| age > MAX_DENIAL_CONFIG_AGE) || state.deployment.borrow().is_none()
+        if age.is_none_or(|age| age > MAX_DENIAL_CONFIG_AGE)
+            || state.active_config.borrow().is_none()
         {
             return not_ready("configuration not confirmed");
         }
@@ -320,18 +327,18 @@
 ) -> Response<ResponseBody> {
     let request = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
     let ms = millis(clock::now().since(arrived));
-    let (status, reason, retry) = match error {
+    let (status, reason, retry_after) = match error {
         RequestError::Denied(status, reason) => {
             state.meter.requests(1, Outcome::Refused);
             state.meter.refusals(1, RefusalReason::Invalid);
             emit!(state.log, Event::RequestDenied, "request" => request, "status" => status.as_u16(), "reason" => *reason, "revision" => state.revision(), "config_age_ms" => state.config_age_ms());
             (*status, reason, None)
         }
-        RequestError::Refused(kind, reason, retry) => {
+        RequestError::Refused(kind, reason, retry_after) => {
             state.meter.requests(1, Outcome::Refused);
             state.meter.refusals(1, *kind);
-            emit!(state.log, Event::RequestRefused, "request" => request, "reason" => *reason, "ms" => ms, "retry_after_ms" => millis(*retry), "revision" => state.revision(), "config_age_ms" => state.config_age_ms(), "directory_age_ms" => state.directory_age_ms());
-            (StatusCode::SERVICE_UNAVAILABLE, reason, Some(*retry))
+            emit!(state.log, Event::RequestRefused, "request" => request, "reason" => *reason, "ms" => ms, "retry_after_ms" => millis(*retry_after), "revision" => state.revision(), "config_age_ms" => state.config_age_ms(), "directory_age_ms" => state.directory_age_ms());
+            (StatusCode::SERVICE_UNAVAILABLE, reason, Some(*retry_after))
         }
         RequestError::Failed(status, reason) => {
             state.meter.requests(1, Outcome::Failed);
@@ -347,8 +354,8 @@
     if let Some(id) = id {
         headers.insert(header::REQUEST_ID, id.clone());
     }
-    if let Some(retry) = retry {
-        let (name, value) = header::retry_after(retry);
+    if let Some(retry_after) = retry_after {
+        let (name, value) = header::retry_after(retry_after);
         headers.insert(name, value);
     }
     response
--- a/mimosafront/src/relay/model/forward.rs
+++ b/mimosafront/src/relay/model/forward.rs
@@ -13,58 +13,60 @@
 
 use super::stall::StallCheck;
 use super::stall_timer::{StallTimer, wait_for_fault_or_tick};
-use super::{FIRST_EVENT_STALL, Session};
+use super::{FIRST_EVENT_TIMEOUT, ModelRequest};
 use crate::body::Chunk;
 use crate::clock;
 use crate::relay::RequestError;
 use crate::state::millis;
 
-/// Silence of the first hop after which a stream that cannot be resumed is
-/// abandoned: three probes in a row, and half of what clients wait.
+/// Time since the first hop was marked dead after which a stream without a
+/// replacement chain is abandoned: three probes in a row, and half of the time
+/// for which clients wait.
 const ABANDON_AFTER: Duration = Duration::from_millis(1_000);
 
-/// Reason for which forwarding stopped.
-enum StreamEnd {
+/// Reason for which `forward_events` returned.
+enum ForwardOutcome {
     /// The stream is complete.
     Complete,
     /// The client closed the connection.
     ClientGone,
     /// The deadline passed.
     DeadlineExceeded,
-    /// The stream makes no progress and could not be rerouted.
+    /// The stream makes no progress, and its chain could not be changed; it may
+    /// still continue.
     Stalled(&'static str),
     /// The stream ended prematurely.
     Broken(&'static str),
 }
 
-impl Session {
+impl ModelRequest {
     /// Forwards events until the stream ends, and resumes it after a failure.
     pub(super) async fn forward_stream(mut self, exchange: Exchange, sender: mpsc::Sender<Chunk>) {
         let mut exchange = exchange;
-        let mut stall_timer = StallTimer::new(clock::now() + FIRST_EVENT_STALL);
+        let mut stall_timer = StallTimer::new(clock::now() + FIRST_EVENT_TIMEOUT);
         loop {
             let reason = match self.forward_events(&mut exchange, &sender, &mut stall_timer).await {
-                StreamEnd::Complete => {
+                ForwardOutcome::Complete => {
                     self.complete_stream(&sender).await;
                     return;
                 }
                 // The client closed the connection: dropping the exchange
                 // cancels the work.
-                StreamEnd::ClientGone => return,
-                StreamEnd::DeadlineExceeded => "deadline passed",
-                StreamEnd::Stalled(reason) => {
+                ForwardOutcome::ClientGone => return,
+                ForwardOutcome::DeadlineExceeded => "deadline passed",
+                ForwardOutcome::Stalled(reason) => {
                     let replaced = self.replace_chain(reason).await;
                     if replaced.is_some() || !self.is_first_hop_lost() {
                         // Without a replacement the old stream may still
                         // continue.
                         exchange = replaced.unwrap_or(exchange);
-                        stall_timer.checked(clock::now());
+                        stall_timer.on_check(clock::now());
                         continue;
                     }
                     reason
                 }
-                StreamEnd::Broken(reason) => {
-                    self.avoid_first_hop();
+                ForwardOutcome::Broken(reason) => {
+                    self.exclude_first_hop();
                     self.release();
                     match self.resume(reason).await {
                         Ok(next) => {
@@ -80,17 +82,17 @@
         }
     }
 
-    /// Excludes the endpoint whose stream failed.
-    fn avoid_first_hop(&mut self) {
+    /// Excludes the first endpoint of the chain.
+    fn exclude_first_hop(&mut self) {
         if let Some(claim) = &self.claim {
-            self.avoid.push(claim.chain[0].clone());
+            self.excluded_hops.push(claim.chain[0].clone());
         }
     }
 
     /// Opens the rest of a stalled stream at another chain. The old stream is
     /// kept until that has succeeded, since it may only be slow.
     async fn replace_chain(&mut self, reason: &str) -> Option<Exchange> {
-        self.avoid_first_hop();
+        self.exclude_first_hop();
         if !self.is_resumable() || self.select_chain().is_err() {
             return None;
         }
@@ -110,13 +112,12 @@
         }
     }
 
-    /// Whether the first hop has been silent for so long that it will not
-    /// recover in time.
+    /// Whether the first hop has been dead for `ABANDON_AFTER`.
     fn is_first_hop_lost(&self) -> bool {
         let fleet = self.state().fleet.borrow();
         let first = self.claim.as_ref().map(|claim| &claim.chain[0].id);
-        let silence = first.and_then(|id| fleet.dead_for(id, clock::now()));
-        silence.is_some_and(|silence| silence >= ABANDON_AFTER)
+        let dead_for = first.and_then(|id| fleet.dead_for(id, clock::now()));
+        dead_for.is_some_and(|dead_for| dead_for >= ABANDON_AFTER)
     }
 
     fn is_resumable(&self) -> bool {
@@ -128,7 +129,7 @@
             return Err(RequestError::Failed(StatusCode::BAD_GATEWAY, "not resumable"));
         }
         let demand = self.remaining_demand();
-        let demand = std::mem::replace(&mut self.demand, demand);
+        let old_demand = std::mem::replace(&mut self.demand, demand);
         emit!(self.state().log, Event::StageMoved, "request" => &*self.ctx.id, "reason" => reason, "after_event" => self.events.last());
         let opened = self.open().await;
         match opened {
@@ -138,11 +139,11 @@
                 Ok(exchange)
             }
             Ok(_) => {
-                self.demand = demand;
+                self.demand = old_demand;
                 Err(RequestError::Failed(StatusCode::BAD_GATEWAY, "endpoint failed"))
             }
             Err(end) => {
-                self.demand = demand;
+                self.demand = old_demand;
                 Err(end)
             }
         }
@@ -155,7 +156,7 @@
             drop(sender.send(Chunk::Data(rest.into())).await);
         }
         drop(sender.send(Chunk::End).await);
-        self.done = true;
+        self.outcome_recorded = true;
         self.state().meter.requests(1, Outcome::Completed);
         let by = self.claim.as_ref().map(|claim| claim.chain[0].id.clone());
         let by = by.as_deref().unwrap_or_default();
@@ -169,7 +170,7 @@
     }
 
     fn fail_stream(&mut self, reason: &'static str) {
-        self.done = true;
+        self.outcome_recorded = true;
         self.state().meter.requests(1, Outcome::Failed);
         let ms = millis(clock::now().since(self.ctx.arrived));
         emit!(self.state().log, Event::RequestFailed, "request" => &*self.ctx.id, "reason" => reason, "ms" => ms, "events" => self.events_forwarded, "after_event" => self.events.last());
@@ -181,23 +182,23 @@
         exchange: &mut Exchange,
         sender: &mpsc::Sender<Chunk>,
         stall_timer: &mut StallTimer,
-    ) -> StreamEnd {
+    ) -> ForwardOutcome {
         let mut last_event_at = clock::now();
         let state = self.state().clone();
         loop {
             let next = tokio::select! {
                 next = exchange.next() => next,
-                () = sender.closed() => return StreamEnd::ClientGone,
+                () = sender.closed() => return ForwardOutcome::ClientGone,
                 () = wait_for_fault_or_tick(&state) => {
                     let now = clock::now();
                     if now >= self.ctx.deadline {
-                        return StreamEnd::DeadlineExceeded;
+                        return ForwardOutcome::DeadlineExceeded;
                     }
                     if stall_timer.is_due(!self.known_faults().is_empty(), now) {
                         match self.check_stall(last_event_at).await {
-                            StallCheck::Progressing => stall_timer.deferred(now),
-                            StallCheck::Healthy | StallCheck::Rerouted => stall_timer.checked(clock::now()),
-                            StallCheck::Lost(reason) => return StreamEnd::Stalled(reason),
+                            StallCheck::Progressing => stall_timer.schedule_recheck(now),
+                            StallCheck::Healthy | StallCheck::Rerouted => stall_timer.on_check(clock::now()),
+                            StallCheck::Lost(reason) => return ForwardOutcome::Stalled(reason),
                         }
                     }
                     continue;
@@ -205,17 +206,17 @@
             };
             let data = match next {
                 Some(Ok(data)) => data,
-                Some(Err(_)) => return StreamEnd::Broken("stream ended prematurely"),
-                None => return StreamEnd::Complete,
+                Some(Err(_)) => return ForwardOutcome::Broken("stream ended prematurely"),
+                None => return ForwardOutcome::Complete,
             };
             match self.process_bytes(&data) {
-                Err(reason) => return StreamEnd::Broken(reason),
+                Err(reason) => return ForwardOutcome::Broken(reason),
                 Ok(None) => {}
                 Ok(Some(complete)) => {
                     last_event_at = clock::now();
-                    stall_timer.progressed(last_event_at);
+                    stall_timer.on_event(last_event_at);
                     if sender.send(Chunk::Data(complete)).await.is_err() {
-                        return StreamEnd::ClientGone;
+                        return ForwardOutcome::ClientGone;
                     }
                 }
             }
@@ -234,18 +235,18 @@
         let mut fleet = state.fleet.borrow_mut();
         let generated =
             (self.events_forwarded + complete.count) as f32 * self.engine.tokens_per_event as f32;
-        let pause = (self.events_forwarded > 0).then(|| now.since(self.timing.last_event_at));
+        let gap = (self.events_forwarded > 0).then(|| now.since(self.timing.last_event_at));
         if let Some(claim) = &mut self.claim {
-            fleet.record_progress(&claim.chain, pause, now);
+            fleet.record_progress(&claim.chain, gap, now);
             fleet.finish_prefill(claim);
             fleet.grow(claim, generated);
         }
-        if let Some(pause) = pause {
-            if pause > self.timing.longest_gap {
-                self.timing.longest_gap = pause;
+        if let Some(gap) = gap {
+            if gap > self.timing.longest_gap {
+                self.timing.longest_gap = gap;
                 self.timing.longest_gap_after = previous;
             }
-            state.meter.inter_token(pause.as_secs_f64());
+            state.meter.inter_token(gap.as_secs_f64());
         } else {
             self.timing.time_to_first = now.since(self.ctx.arrived);
             state.meter.first_token(self.timing.time_to_first.as_secs_f64());
--- a/mimosafront/src/relay/model/mod.rs
+++ b/mimosafront/src/relay/model/mod.rs
@@ -1,5 +1,5 @@
-//! Relays requests to model engines: admission, choice of a chain, and its
-//! response.
+//! Relays requests to model engines: admits them, selects a chain and forwards
+//! the response.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -35,27 +35,28 @@
 /// Number of chunks buffered for a slow client before its stream is held back.
 const BUFFERED_CHUNKS: usize = 32;
 
-/// Time without a first event after which the chain is checked: several times
-/// what prefill takes without faults.
-const FIRST_EVENT_STALL: Duration = Duration::from_millis(500);
+/// Time without a response head or a first event after which the chain is
+/// checked: several times the prefill time of a healthy chain.
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Maximum number of sends that were certainly not executed, in addition to the
-/// attempts of the route.
+/// Number of rejected sends, in addition to the attempts of the route, after
+/// which a request is sent at most once more.
 const MAX_REJECTED_SENDS: u32 = 4;
 
-/// Largest response that is not a stream.
-const MAX_ANSWER_BYTES: usize = 1024 * 1024;
+/// Largest response body that is buffered: of an error response or a reroute
+/// order.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 1024 * 1024;
 
-/// Retry-After if no memory is free: in each such interval a few streams end
-/// and free some.
-const FULL_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Retry-After if the deadline passed before the request was executed: in each
+/// such interval a few streams end and free memory.
+const DEADLINE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Retry-After if a layer has no endpoint: small ranges of layers load in about
-/// a second.
-const UNCOVERED_RETRY_AFTER: Duration = Duration::from_millis(700);
+/// Retry-After if no send was executed and no retry is left: small ranges of
+/// layers load in about a second.
+const RETRIES_EXHAUSTED_RETRY_AFTER: Duration = Duration::from_millis(700);
 
-/// A stream and its progress.
-struct Session {
+/// A request to a model engine and its progress.
+struct ModelRequest {
     ctx: RequestContext,
     engine: Arc<Engine>,
     demand: Demand,
@@ -66,11 +67,13 @@
     /// Timing of these events.
     timing: EventTiming,
     /// Number of sends that may have been executed.
-    may_have_run: u32,
+    possible_executions: u32,
     /// Number of sends that were certainly not executed.
-    rejected: u32,
-    avoid: SmallVec<[Hop; 4]>,
-    done: bool,
+    rejected_sends: u32,
+    /// Hops that are not selected again for this request.
+    excluded_hops: SmallVec<[Hop; 4]>,
+    /// Whether the outcome is counted in the metrics, or left to the caller.
+    outcome_recorded: bool,
 }
 
 /// Timing of the events of a stream, for its log line.
@@ -95,10 +98,10 @@
     }
 }
 
-impl Drop for Session {
+impl Drop for ModelRequest {
     fn drop(&mut self) {
         self.release();
-        if !self.done {
+        if !self.outcome_recorded {
             let state = &self.ctx.state;
             state.meter.requests(1, Outcome::Cancelled);
             let ms = millis(clock::now().since(self.ctx.arrived));
@@ -110,16 +113,16 @@
 /// Relays a request to a chain and streams its response back.
 pub async fn relay(ctx: RequestContext) -> Result<Response<ResponseBody>, RequestError> {
     let engine = ctx.service.engine.clone().expect("service has an engine");
-    let mut session = Session::new(ctx, engine);
+    let mut session = ModelRequest::new(ctx, engine);
     let mut exchange = match session.open().await {
         Ok(exchange) => exchange,
         Err(end) => {
-            session.done = true;
+            session.outcome_recorded = true;
             return Err(end);
         }
     };
     if !exchange.head.status().is_success() {
-        session.done = true;
+        session.outcome_recorded = true;
         return session.forward_failure(exchange).await;
     }
     let (sender, chunks) = mpsc::channel(BUFFERED_CHUNKS);
@@ -129,7 +132,7 @@
     Ok(response)
 }
 
-impl Session {
+impl ModelRequest {
     fn new(ctx: RequestContext, engine: Arc<Engine>) -> Self {
         let usual = engine.typical_request;
         let demand = match ctx.tokens {
@@ -149,10 +152,10 @@
             events,
             events_forwarded: 0,
             timing: EventTiming::default(),
-            may_have_run: 0,
-            rejected: 0,
-            avoid: SmallVec::new(),
-            done: false,
+            possible_executions: 0,
+            rejected_sends: 0,
+            excluded_hops: SmallVec::new(),
+            outcome_recorded: false,
         }
     }
 
@@ -175,22 +178,23 @@
                 return Err(self.unanswered_error(
                     StatusCode::GATEWAY_TIMEOUT,
                     "deadline passed",
-                    FULL_RETRY_AFTER,
+                    DEADLINE_RETRY_AFTER,
                 ));
             }
-            let sends = self.may_have_run + self.rejected;
+            let sends = self.possible_executions + self.rejected_sends;
             if sends > 0 {
-                let is_exhausted = self.may_have_run > 0 && !self.ctx.route.is_idempotent();
-                let attempts_used = self.may_have_run >= self.ctx.route.attempts;
-                if is_exhausted
+                let must_not_repeat =
+                    self.possible_executions > 0 && !self.ctx.route.is_idempotent();
+                let attempts_used = self.possible_executions >= self.ctx.route.attempts;
+                if must_not_repeat
                     || attempts_used
-                    || self.rejected > MAX_REJECTED_SENDS
+                    || self.rejected_sends > MAX_REJECTED_SENDS
                     || !self.take_retry(cause)
                 {
                     return Err(self.unanswered_error(
                         StatusCode::BAD_GATEWAY,
                         cause,
-                        UNCOVERED_RETRY_AFTER,
+                        RETRIES_EXHAUSTED_RETRY_AFTER,
                     ));
                 }
             }
@@ -207,7 +211,7 @@
         let taken = self.state().take_retry(&self.ctx.service.name);
         if taken {
             let (request, last) = (&*self.ctx.id, self.events.last());
-            emit!(self.state().log, Event::RequestRetried, "request" => request, "attempt" => self.may_have_run + self.rejected + 1, "reason" => cause, "after_event" => last);
+            emit!(self.state().log, Event::RequestRetried, "request" => request, "attempt" => self.possible_executions + self.rejected_sends + 1, "reason" => cause, "after_event" => last);
         }
         taken
     }
@@ -217,12 +221,12 @@
         &self,
         status: StatusCode,
         reason: &'static str,
-        retry: Duration,
+        retry_after: Duration,
     ) -> RequestError {
-        if self.may_have_run > 0 {
+        if self.possible_executions > 0 {
             return RequestError::Failed(status, reason);
         }
-        RequestError::Refused(RefusalReason::NoEndpoint, reason, retry)
+        RequestError::Refused(RefusalReason::NoEndpoint, reason, retry_after)
     }
 
     /// Selects a chain for the request once there is memory for it.
@@ -244,6 +248,7 @@
                 Err(found) => shortage = Some(found),
             }
         }
+        // If the queue is full, the layer is unknown and logged as 0.
         Err(self.shortage_error(&shortage.unwrap_or(Shortage::Full(0))))
     }
 
@@ -273,7 +278,7 @@
     }
 
     fn select_chain(&self) -> Result<Chain, Shortage> {
-        self.find_chain(&self.demand, None, &self.avoid)
+        self.find_chain(&self.demand, None, &self.excluded_hops)
     }
 
     fn find_chain(
@@ -300,7 +305,7 @@
 
     fn log_shortage(&self, shortage: &Shortage) {
         let zone = self.state().node().zone.clone();
-        let query = self.query(&zone, &self.demand, None, &self.avoid);
+        let query = self.query(&zone, &self.demand, None, &self.excluded_hops);
         let layer = shortage.layer();
         let holders = self.state().fleet.borrow().describe_holders(&query, layer, clock::now());
         let waiting = self.state().pressure.borrow().waiting();
@@ -316,14 +321,14 @@
             Shortage::Full(_) => (RefusalReason::Shed, "no memory free"),
             Shortage::Uncovered(_) => (RefusalReason::NoEndpoint, "layers without an endpoint"),
         };
-        if self.may_have_run > 0 {
+        if self.possible_executions > 0 {
             return RequestError::Failed(StatusCode::BAD_GATEWAY, reason);
         }
         RequestError::Refused(kind, reason, retry_after)
     }
 
-    /// Sends the request to a chain; returns the reason if the response is not
-    /// the stream of this request.
+    /// Sends the request to a chain; returns the reason if the response must not
+    /// be forwarded.
     async fn send(&mut self, chain: Chain, attempt: u32) -> Result<Exchange, &'static str> {
         let to: Vec<_> = chain.iter().map(|hop| format!("{}:{}", hop.id, hop.layers)).collect();
         let Demand { prompt, output } = self.demand;
@@ -338,33 +343,33 @@
             Ok(exchange) => self.check_response(&first, exchange),
             Err(Some(Failure::NotSent { reason, .. })) => {
                 self.state().mark_suspect(&first.id, &reason);
-                self.avoid.push(first);
-                self.rejected += 1;
+                self.excluded_hops.push(first);
+                self.rejected_sends += 1;
                 Err("not sent")
             }
             Err(Some(Failure::Lost { reason })) => {
                 self.state().mark_suspect(&first.id, &reason);
                 self.state().pool.close_idle(first.address);
-                self.avoid.push(first);
-                self.may_have_run += 1;
+                self.excluded_hops.push(first);
+                self.possible_executions += 1;
                 Err("answer lost")
             }
             Err(None) => {
-                self.may_have_run += 1;
+                self.possible_executions += 1;
                 Err("chain lost")
             }
         }
     }
 
     /// Waits for the response head and checks the chain meanwhile; `Err(None)`
-    /// if the request must be sent again.
+    /// if the chain is lost or the deadline has passed.
     async fn wait_for_head(
         &mut self,
         sending: impl Future<Output = Result<Exchange, Failure>>,
     ) -> Result<Exchange, Option<Failure>> {
         let mut sending = std::pin::pin!(sending);
         let sent = clock::now();
-        let mut stall_timer = StallTimer::new(sent + FIRST_EVENT_STALL);
+        let mut stall_timer = StallTimer::new(sent + FIRST_EVENT_TIMEOUT);
         let state = self.state().clone();
         loop {
             tokio::select! {
@@ -377,8 +382,10 @@
             }
             if stall_timer.is_due(!self.known_faults().is_empty(), now) {
                 match self.check_stall(sent).await {
-                    StallCheck::Progressing => stall_timer.deferred(now),
-                    StallCheck::Healthy | StallCheck::Rerouted => stall_timer.checked(clock::now()),
+                    StallCheck::Progressing => stall_timer.schedule_recheck(now),
+                    StallCheck::Healthy | StallCheck::Rerouted => {
+                        stall_timer.on_check(clock::now())
+                    }
                     StallCheck::Lost(_) => return Err(None),
                 }
             }
@@ -408,28 +415,28 @@
         let info = header::response(exchange.head.headers());
         if !self.ctx.is_answered_by(&info, status) {
             self.state().pool.close_idle(first.address);
-            self.may_have_run += 1;
+            self.possible_executions += 1;
             return Err("answer to another request");
         }
         if info.not_run || status == StatusCode::MISDIRECTED_REQUEST {
-            self.rejected += 1;
+            self.rejected_sends += 1;
             self.exclude_at_fault(first, info.at_fault, status);
             return Err("rejected by an endpoint");
         }
-        self.may_have_run += 1;
+        self.possible_executions += 1;
         if status.is_success() && !info.signed {
             return Err("answer without a signature");
         }
-        let can_retry = self.may_have_run < self.ctx.route.attempts;
+        let can_retry = self.possible_executions < self.ctx.route.attempts;
         if status.is_server_error() && can_retry && self.ctx.route.is_idempotent() {
-            self.avoid.push(first.clone());
+            self.excluded_hops.push(first.clone());
             return Err("endpoint failed");
         }
         Ok(exchange)
     }
 
-    /// Excludes the endpoint that a response names as at fault, or the first
-    /// one, and checks whether it is dead or only out of memory.
+    /// Excludes the endpoint that a response names as at fault, records it as out
+    /// of memory and probes it; excludes the first endpoint if none is named.
     fn exclude_at_fault(
         &mut self,
         first: &Hop,
@@ -444,10 +451,11 @@
             state.fleet.borrow_mut().record_cache_full(&hop.id, clock::now());
             emit!(state.log, Event::EndpointOverloaded, "endpoint" => &*hop.id, "request" => &*self.ctx.id, "status" => status.as_u16());
             let hop = hop.clone();
-            // The endpoint is not selected until the probe has ended.
+            // The endpoint is not selected for a while, whatever the probe finds;
+            // the probe tells whether it is dead.
             tokio::task::spawn_local(async move { drop(probe::check_alive(&state, &hop).await) });
         }
-        self.avoid.push(hop);
+        self.excluded_hops.push(hop);
     }
 
     /// The demand of the rest of the request.
@@ -457,12 +465,12 @@
         Demand { prompt: self.demand.prompt + generated, output }
     }
 
-    /// Forwards a response that is not a stream.
+    /// Forwards an error response, which is not a stream.
     async fn forward_failure(
         &self,
         mut exchange: Exchange,
     ) -> Result<Response<ResponseBody>, RequestError> {
-        let Ok(body) = exchange.collect(MAX_ANSWER_BYTES).await else {
+        let Ok(body) = exchange.collect(MAX_BUFFERED_RESPONSE_BYTES).await else {
             return Err(RequestError::Failed(StatusCode::BAD_GATEWAY, "answer lost"));
         };
         self.state().meter.requests(1, Outcome::Failed);
--- a/mimosafront/src/relay/model/stall.rs
+++ b/mimosafront/src/relay/model/stall.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use mimosaplatform::engine as wire;
+use mimosaplatform::engine as engine_protocol;
 use mimosashift::emit;
 use mimosashift::event::Event;
 use mimosashift::exchange::{Order, OrderOutcome};
@@ -14,13 +14,13 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use super::{MAX_ANSWER_BYTES, Session};
+use super::{MAX_BUFFERED_RESPONSE_BYTES, ModelRequest};
 use crate::clock;
 use crate::probe::{self, ProbeResult};
 use crate::state::{RouterState, millis};
 
 /// Time limit for an order that reroutes a request.
-const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
+const REROUTE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Maximum number of chains tried for a request that is rerouted; each refusal
 /// names an endpoint to exclude.
@@ -28,19 +28,20 @@
 
 /// Result of checking a chain that makes no progress.
 pub(super) enum StallCheck {
-    /// Every hop answers.
+    /// No hop is dead, and slow ones, if any, cannot be avoided.
     Healthy,
-    /// Every hop has recently processed other work.
+    /// Every hop has recently made progress, with this or other requests.
     Progressing,
     /// The request was rerouted to another chain.
     Rerouted,
-    /// The request must be sent again.
+    /// The chain is unusable and the request could not be rerouted, for this
+    /// reason.
     Lost(&'static str),
 }
 
-impl Session {
+impl ModelRequest {
     /// Checks a chain that has delivered no event since `since`, and reroutes
-    /// the request if a hop is dead.
+    /// the request if a hop is dead or slow.
     pub(super) async fn check_stall(&mut self, since: Instant) -> StallCheck {
         let Some(claim) = &self.claim else { return StallCheck::Lost("no chain assigned") };
         let chain = claim.chain.clone();
@@ -59,23 +60,23 @@
         emit!(self.state().log, Event::RequestStalled, "request" => &*self.ctx.id, "silent_ms" => silent_ms, "silent" => names(&silent), "dead" => names(&dead), "slow" => names(&slow), "after_event" => self.events.last());
         let first = chain[0].clone();
         if dead.iter().any(|hop| hop.id == first.id) {
-            self.avoid.extend(dead);
+            self.excluded_hops.extend(dead);
             return StallCheck::Lost("first endpoint is dead");
         }
         if dead.is_empty() {
             return self.avoid_slow(&first, slow).await;
         }
-        self.avoid.extend(dead);
+        self.excluded_hops.extend(dead);
         match self.reroute(&first, &slow).await {
             StallCheck::Lost(_) if !slow.is_empty() => self.reroute(&first, &[]).await,
             check => check,
         }
     }
 
-    /// Reroutes a request around slow endpoints, if others have room for it.
+    /// Reroutes a request around slow endpoints, if others have memory for it.
     async fn avoid_slow(&mut self, first: &Hop, slow: SmallVec<[Hop; 4]>) -> StallCheck {
-        let others = slow.iter().any(|hop| hop.id != first.id);
-        if !others || self.chain_from_first(first, &slow).is_err() {
+        let slow_beyond_first = slow.iter().any(|hop| hop.id != first.id);
+        if !slow_beyond_first || self.chain_from_first(first, &slow).is_err() {
             return StallCheck::Healthy;
         }
         match self.reroute(first, &slow).await {
@@ -87,12 +88,12 @@
     /// A chain for the rest of a request that has started, which also avoids
     /// `exclude`.
     fn chain_from_first(&self, first: &Hop, exclude: &[Hop]) -> Result<Chain, Shortage> {
-        let avoid: Vec<Hop> = self.avoid.iter().chain(exclude).cloned().collect();
+        let avoid: Vec<Hop> = self.excluded_hops.iter().chain(exclude).cloned().collect();
         self.find_chain(&self.remaining_demand(), Some(first), &avoid)
     }
 
     /// Reroutes the request to another chain with the same first hop, which
-    /// avoids `self.avoid` and `exclude`.
+    /// avoids `self.excluded_hops` and `exclude`.
     async fn reroute(&mut self, first: &Hop, exclude: &[Hop]) -> StallCheck {
         for _ in 0..MAX_REROUTES {
             let Ok(chain) = self.chain_from_first(first, exclude) else {
@@ -106,11 +107,12 @@
                     self.claim = Some(claim);
                     return StallCheck::Rerouted;
                 }
-                // The hop at fault has no room or is gone: try without it.
+                // The hop at fault has no memory left or no longer exists: try
+                // without it.
                 OrderOutcome::Refused { at_fault: Some(address), .. } => {
                     let named = chain.iter().skip(1).find(|hop| hop.address == address);
                     let Some(hop) = named else { break };
-                    self.avoid.push(hop.clone());
+                    self.excluded_hops.push(hop.clone());
                 }
                 OrderOutcome::Refused { at_fault: None, .. } | OrderOutcome::Unknown => break,
             }
@@ -120,25 +122,26 @@
 
     async fn send_reroute(&self, first: &Hop, chain: &Chain) -> OrderOutcome {
         let order = Order::Reroute { id: &self.ctx.id, chain };
-        let call = wire::order_request(first.address, &first.id, &order);
+        let call = engine_protocol::order_request(first.address, &first.id, &order);
         let response = async {
             let mut exchange = self.state().pool.send(first.address, call, false).await.ok()?;
-            let body = exchange.collect(MAX_ANSWER_BYTES).await.ok()?;
-            Some(wire::order_outcome(exchange.head.status(), &body))
+            let body = exchange.collect(MAX_BUFFERED_RESPONSE_BYTES).await.ok()?;
+            Some(engine_protocol::order_outcome(exchange.head.status(), &body))
         };
-        let ordered = timeout(ORDER_TIMEOUT, response).await.ok().flatten();
+        let ordered = timeout(REROUTE_TIMEOUT, response).await.ok().flatten();
         let ordered = ordered.unwrap_or(OrderOutcome::Unknown);
         let to: Vec<_> = chain.iter().map(|hop| format!("{}:{}", hop.id, hop.layers)).collect();
-        let answer = format!("{ordered:?}");
-        emit!(self.state().log, Event::RequestMoved, "request" => &*self.ctx.id, "to" => to.join(","), "said" => answer, "after_event" => self.events.last());
+        let outcome = format!("{ordered:?}");
+        emit!(self.state().log, Event::RequestMoved, "request" => &*self.ctx.id, "to" => to.join(","), "said" => outcome, "after_event" => self.events.last());
         ordered
     }
 }
 
-/// The hops of a chain at which a request is stuck.
+/// The dead and the slow hops of a chain.
 #[derive(Default)]
 pub(super) struct FaultyHops {
-    /// Hops that give no report, or that other hops report to be waiting for.
+    /// Hops that give no report, or that other hops report to be waiting for;
+    /// the latter may be alive.
     pub(super) dead: SmallVec<[Hop; 4]>,
     /// Hops that report to be far slower than expected of their accelerator.
     pub(super) slow: SmallVec<[Hop; 4]>,
@@ -150,7 +153,7 @@
     }
 }
 
-/// Probes the endpoints that have gone silent.
+/// Probes endpoints that have made no progress recently.
 async fn probe_silent(state: &Rc<RouterState>, hops: &[Hop], request: &str) -> FaultyHops {
     let mut probes = JoinSet::new();
     for hop in hops.iter().cloned() {
--- a/mimosafront/src/relay/model/stall_timer.rs
+++ b/mimosafront/src/relay/model/stall_timer.rs
@@ -11,8 +11,8 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Time without an event after which the chain is checked: several times the
-/// usual interval of events, and short enough that clients still count the next
-/// event as on time.
+/// usual interval of events, and short enough that a rerouted stream continues
+/// within the time that clients allow between events.
 const STALL_TIMEOUT: Duration = Duration::from_millis(220);
 
 /// Time after a check of a chain before the next one.
@@ -45,18 +45,18 @@
     }
 
     /// Records that an event was received.
-    pub(super) fn progressed(&mut self, now: Instant) {
+    pub(super) fn on_event(&mut self, now: Instant) {
         self.next_check = now + STALL_TIMEOUT;
     }
 
     /// Records a check that sent no probes, so that the next one may follow
     /// soon.
-    pub(super) fn deferred(&mut self, now: Instant) {
+    pub(super) fn schedule_recheck(&mut self, now: Instant) {
         self.next_check = now + POLL_INTERVAL;
     }
 
     /// Records a check that found no fault or rerouted the request.
-    pub(super) fn checked(&mut self, now: Instant) {
+    pub(super) fn on_check(&mut self, now: Instant) {
         self.next_check = now + RECHECK_INTERVAL;
         self.not_before = self.next_check;
     }
--- a/mimosafront/src/relay/plain.rs
+++ b/mimosafront/src/relay/plain.rs
@@ -21,27 +21,27 @@
 use crate::state::RouterState;
 
 /// Largest response that is accepted.
-const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Maximum number of sends that were certainly not executed, in addition to the
-/// attempts of the route.
+/// Number of rejected sends, in addition to the attempts of the route, after
+/// which a request is sent at most once more.
 const MAX_REJECTED_SENDS: u32 = 2;
 
-/// Multiple of the latency objective after which a response counts as lost, if
-/// the request may be sent elsewhere.
-const LOST_AFTER_OBJECTIVES: u32 = 2;
+/// Multiple of the route's target latency after which a request that may be
+/// sent elsewhere times out.
+const TIMEOUT_OBJECTIVE_FACTOR: u32 = 2;
 
-/// Minimum time after which a response counts as lost: service times vary by
-/// some hundred milliseconds.
-const MIN_LOST_AFTER: Duration = Duration::from_millis(200);
+/// Minimum time after which such a request times out: service times vary by a
+/// few hundred milliseconds.
+const MIN_RETRYABLE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Retry-After if every endpoint is full: some requests have been served by
-/// then.
-const FULL_RETRY_AFTER: Duration = Duration::from_millis(150);
+/// Retry-After if no endpoint executed the request: if they were full, some
+/// requests have been served by then.
+const NOT_EXECUTED_RETRY_AFTER: Duration = Duration::from_millis(150);
 
 /// Outcome of one send.
 enum SendOutcome {
-    /// A response, and whether to forward it rather than try again.
+    /// A response, and whether it is forwarded instead of a retry.
     Answered(Response<ResponseBody>, bool),
     /// The request was certainly not executed.
     NotRun(&'static str),
@@ -61,12 +61,12 @@
 /// Tries one endpoint after another.
 pub async fn relay(ctx: RequestContext) -> Result<Response<ResponseBody>, RequestError> {
     let mut tried: SmallVec<[Arc<str>; 4]> = SmallVec::new();
-    let (mut may_have_run, mut rejected) = (0, 0);
+    let (mut possible_executions, mut rejected_sends) = (0, 0);
     let mut last_response = None;
     let mut cause = "no endpoint left";
     loop {
         if ctx.remaining().is_zero() {
-            return Err(deadline_error(may_have_run > 0));
+            return Err(deadline_error(possible_executions > 0));
         }
         if !tried.is_empty() && !ctx.state.take_retry(&ctx.service.name) {
             break;
@@ -80,32 +80,39 @@
             emit!(ctx.state.log, Event::RequestRetried, "request" => &*ctx.id, "attempt" => attempt, "reason" => cause);
         }
         tried.push(hop.id.clone());
-        let can_retry = ctx.route.is_idempotent() && may_have_run + 1 < ctx.route.attempts;
+        let can_retry = ctx.route.is_idempotent() && possible_executions + 1 < ctx.route.attempts;
         match send(&ctx, &hop, attempt, can_retry).await {
             SendOutcome::Answered(response, true) => return Ok(response),
             SendOutcome::Answered(response, false) => {
-                may_have_run += 1;
+                possible_executions += 1;
                 cause = "endpoint failed";
                 last_response = Some(response);
             }
             SendOutcome::NotRun(reason) => {
-                rejected += 1;
+                rejected_sends += 1;
                 cause = reason;
             }
             SendOutcome::Lost(reason) => {
-                may_have_run += 1;
+                possible_executions += 1;
                 cause = reason;
             }
         }
-        let is_exhausted = may_have_run > 0 && !ctx.route.is_idempotent();
-        if is_exhausted || may_have_run >= ctx.route.attempts || rejected > MAX_REJECTED_SENDS {
+        let must_not_repeat = possible_executions > 0 && !ctx.route.is_idempotent();
+        if must_not_repeat
+            || possible_executions >= ctx.route.attempts
+            || rejected_sends > MAX_REJECTED_SENDS
+        {
             break;
         }
     }
     match last_response {
         Some(response) => Ok(response),
-        None if may_have_run > 0 => Err(RequestError::Failed(StatusCode::BAD_GATEWAY, cause)),
-        None => Err(RequestError::Refused(RefusalReason::NoEndpoint, cause, FULL_RETRY_AFTER)),
+        None if possible_executions > 0 => {
+            Err(RequestError::Failed(StatusCode::BAD_GATEWAY, cause))
+        }
+        None => {
+            Err(RequestError::Refused(RefusalReason::NoEndpoint, cause, NOT_EXECUTED_RETRY_AFTER))
+        }
     }
 }
 
@@ -113,19 +120,21 @@
     if may_have_run {
         return RequestError::Failed(StatusCode::GATEWAY_TIMEOUT, "deadline passed");
     }
-    RequestError::Refused(RefusalReason::Late, "deadline passed", FULL_RETRY_AFTER)
+    RequestError::Refused(RefusalReason::Late, "deadline passed", NOT_EXECUTED_RETRY_AFTER)
 }
 
 /// Sends the request to one endpoint; `can_retry` tells whether it may be
-/// sent elsewhere without a good response.
+/// sent elsewhere without an acceptable response.
 async fn send(ctx: &RequestContext, hop: &Hop, attempt: u32, can_retry: bool) -> SendOutcome {
     let state = &ctx.state;
     state.fleet.borrow_mut().add_request(hop);
     let _load_guard = LoadGuard(state, hop.clone());
-    let lost_after = (ctx.route.objective * LOST_AFTER_OBJECTIVES).max(MIN_LOST_AFTER);
-    let send_timeout = if can_retry { ctx.remaining().min(lost_after) } else { ctx.remaining() };
+    let retryable_timeout =
+        (ctx.route.objective * TIMEOUT_OBJECTIVE_FACTOR).max(MIN_RETRYABLE_TIMEOUT);
+    let send_timeout =
+        if can_retry { ctx.remaining().min(retryable_timeout) } else { ctx.remaining() };
     ctx.log_sent(attempt, &hop.id, "");
-    let result = timeout(send_timeout, exchange(ctx, hop)).await;
+    let result = timeout(send_timeout, send_and_collect(ctx, hop)).await;
     let outcome = match result {
         Ok(Ok((exchange, response))) => check_response(ctx, exchange, response, can_retry),
         Ok(Err(Failure::NotSent { reason, .. })) => {
@@ -157,14 +166,18 @@
     outcome
 }
 
-async fn exchange(ctx: &RequestContext, hop: &Hop) -> Result<(Exchange, ResponseBody), Failure> {
+async fn send_and_collect(
+    ctx: &RequestContext,
+    hop: &Hop,
+) -> Result<(Exchange, ResponseBody), Failure> {
     let request = ctx.request(hop, &[], ctx.last_event);
     let mut exchange = ctx.state.pool.send(hop.address, request, false).await?;
-    let body = exchange.collect(MAX_ANSWER_BYTES).await?;
+    let body = exchange.collect(MAX_RESPONSE_BYTES).await?;
     Ok((exchange, ResponseBody::Full(Some(body))))
 }
 
-/// Checks that a response belongs to the request and is a good one.
+/// Checks that a response belongs to the request and is acceptable: a
+/// successful one is signed and not encoded.
 fn check_response(
     ctx: &RequestContext,
     exchange: Exchange,
@@ -183,8 +196,9 @@
     }
     let is_encoded = exchange.head.headers().contains_key(CONTENT_ENCODING);
     if status.is_success() && (!info.signed || is_encoded) {
+        // Also the reason if a signed response has a content encoding.
         return SendOutcome::Lost("answer without a signature");
     }
-    let succeeded = !(status.is_server_error() && can_retry);
-    SendOutcome::Answered(forward_response(&exchange.head, body), succeeded)
+    let forward = !(status.is_server_error() && can_retry);
+    SendOutcome::Answered(forward_response(&exchange.head, body), forward)
 }
--- a/mimosafront/src/run.rs
+++ b/mimosafront/src/run.rs
@@ -16,13 +16,13 @@
 use crate::state::RouterState;
 use crate::{directory, gossip, metrics, placement, probe, readiness, server};
 
-/// What a router is started with.
+/// Inputs of [`run`].
 pub struct StartOptions {
     /// The settings file.
     pub file: SettingsFile,
-    /// Its settings.
+    /// The settings read from that file.
     pub node: Node,
-    /// Address of the metrics.
+    /// Listen address of the metrics endpoint.
     pub metrics: SocketAddr,
     /// Event logger.
     pub log: Logger,
@@ -52,16 +52,16 @@
         "node" => &*node.name, "zone" => &*node.zone, "clients" => node.client_address.to_string(),
         "incarnation" => state.incarnation, "version" => env!("CARGO_PKG_VERSION"),
     );
-    let (closing, closed) = watch::channel(false);
+    let (stop_sender, stop_receiver) = watch::channel(false);
     spawn_local(directory::watch_config(state.clone()));
     spawn_local(directory::watch_endpoints(state.clone()));
-    spawn_local(gossip::exchange(state.clone(), peer_socket));
+    spawn_local(gossip::run(state.clone(), peer_socket));
     spawn_local(gossip::serve_config(state.clone(), peer_listener));
     spawn_local(placement::run(state.clone()));
     spawn_local(probe::poll_reports(state.clone()));
     spawn_local(probe::watch_liveness(state.clone()));
     spawn_local(readiness::serve(state.clone(), readiness));
-    spawn_local(server::serve(state.clone(), clients, closed));
+    spawn_local(server::serve(state.clone(), clients, stop_receiver));
     match TcpListener::bind(metrics).await {
         Ok(listener) => drop(spawn_local(metrics::serve(state.clone(), listener))),
         // A router without metrics is preferable to no router.
@@ -69,7 +69,7 @@
             emit!(state.log, Event::MetricsUnavailable, "address" => metrics.to_string(), "error" => error.to_string());
         }
     }
-    let unfinished = shutdown::run_until_stopped(state.clone(), signals, file, closing).await;
+    let unfinished = shutdown::run_until_stopped(state.clone(), signals, file, stop_sender).await;
     emit!(state.log, Event::FrontStopped, "cut_off" => unfinished);
     Ok(unfinished)
 }
--- a/mimosafront/src/server.rs
+++ b/mimosafront/src/server.rs
@@ -20,17 +20,21 @@
 const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
 
 /// Accepts connections until the router stops accepting.
-pub async fn serve(state: Rc<RouterState>, listener: TcpListener, closing: watch::Receiver<bool>) {
-    let mut stop = closing.clone();
+pub async fn serve(
+    state: Rc<RouterState>,
+    listener: TcpListener,
+    stop_receiver: watch::Receiver<bool>,
+) {
+    let mut stop = stop_receiver.clone();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             // The sender lives as long as the router, so this cannot fail.
-            _ = stop.wait_for(|closing| *closing) => return,
+            _ = stop.wait_for(|stopping| *stopping) => return,
         };
         match accepted {
             Ok((stream, _)) => {
-                let serving = serve_connection(state.clone(), stream, closing.clone());
+                let serving = serve_connection(state.clone(), stream, stop_receiver.clone());
                 tokio::task::spawn_local(serving);
             }
             Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
@@ -41,7 +45,7 @@
 async fn serve_connection(
     state: Rc<RouterState>,
     stream: TcpStream,
-    mut closing: watch::Receiver<bool>,
+    mut stop_receiver: watch::Receiver<bool>,
 ) {
     // Streams consist of small events, which Nagle's algorithm would delay.
     drop(stream.set_nodelay(true));
@@ -57,9 +61,9 @@
     let serving = builder.serve_connection(TokioIo::new(stream), service);
     let mut serving = std::pin::pin!(serving);
     tokio::select! {
-        // Errors of a connection show in the outcome of its requests.
+        // Connection errors are already recorded in the outcome of the requests.
         _ = serving.as_mut() => return,
-        _ = closing.wait_for(|closing| *closing) => serving.as_mut().graceful_shutdown(),
+        _ = stop_receiver.wait_for(|stopping| *stopping) => serving.as_mut().graceful_shutdown(),
     }
     drop(serving.await);
 }
--- a/mimosafront/src/shutdown.rs
+++ b/mimosafront/src/shutdown.rs
@@ -14,19 +14,21 @@
 use crate::settings::SettingsFile;
 use crate::state::RouterState;
 
-/// Interval at which signals are polled.
+/// Interval at which signals, and the number of requests in flight during
+/// shutdown, are polled.
 const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Polls between two checks of the settings file, which may change without a
 /// signal.
 const POLLS_PER_RELOAD: u32 = 20;
 
-/// Time after SIGTERM during which new connections are still accepted: the load
-/// balancer polls readiness every second and removes a router after two failed
+/// Time after SIGTERM during which new connections are still accepted, at most
+/// half of the grace period: the load balancer polls readiness every second and removes a router after two failed
 /// checks.
-const DRAIN_DELAY: Duration = Duration::from_millis(2_600);
+const ACCEPT_PERIOD: Duration = Duration::from_millis(2_600);
 
-/// Time before the platform sends SIGKILL by which the router exits.
+/// Part of the grace period kept for flushing and exit before the platform sends
+/// SIGKILL.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
 /// Time allowed for flushing the last bytes of responses.
@@ -56,7 +58,7 @@
     state: Rc<RouterState>,
     signals: Signals,
     mut file: SettingsFile,
-    closing: watch::Sender<bool>,
+    stop_sender: watch::Sender<bool>,
 ) -> usize {
     let mut polls = 0;
     while !signals.stop.load(Ordering::Relaxed) {
@@ -64,6 +66,7 @@
         polls += 1;
         if signals.reload.swap(false, Ordering::Relaxed) || polls % POLLS_PER_RELOAD == 0 {
             reload(&state, &mut file);
+            // Done here because this branch runs about once a second.
             state.pool.close_expired();
         }
     }
@@ -72,10 +75,10 @@
     let in_flight = state.in_flight.get();
     emit!(state.log, Event::FrontStopping, "in_flight" => in_flight, "grace_ms" => crate::state::millis(grace));
     let deadline = tokio::time::Instant::now() + grace.saturating_sub(EXIT_MARGIN);
-    tokio::time::sleep(DRAIN_DELAY.min(grace / 2)).await;
+    tokio::time::sleep(ACCEPT_PERIOD.min(grace / 2)).await;
     // The receivers are held by the accept loop and by the connections; with
     // none left there is nobody to notify.
-    let _ = closing.send(true);
+    let _ = stop_sender.send(true);
     while state.in_flight.get() > 0 && tokio::time::Instant::now() < deadline {
         tokio::time::sleep(SIGNAL_POLL_INTERVAL).await;
     }
--- a/mimosafront/src/state.rs
+++ b/mimosafront/src/state.rs
@@ -26,8 +26,8 @@
 use crate::clock;
 use crate::probe::ProbeResults;
 
-/// Time limit for opening a connection: a few round trips between zones; a full
-/// accept queue at the other end shows as a longer wait.
+/// Time limit for opening a connection: a few round trips between zones. Opening
+/// one takes longer if the peer's accept queue is full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time with unacknowledged data after which a connection counts as dead: far
@@ -39,14 +39,14 @@
 
 /// Minimum number of routers among which the extra retries are divided, for a
 /// router that has not yet heard of its peers.
-const MIN_RETRY_SHARERS: f64 = 4.0;
+const MIN_RETRY_BUDGET_ROUTERS: f64 = 4.0;
 
 /// State that the tasks of a router share.
 pub struct RouterState {
-    /// Settings in force.
+    /// Settings of this router in force.
     pub node: RefCell<Rc<Node>>,
     /// Configuration in force, with its source text for peers.
-    pub deployment: RefCell<Option<ActiveConfig>>,
+    pub active_config: RefCell<Option<ActiveConfig>>,
     /// When the configuration was last confirmed.
     pub config_freshness: Cell<Freshness>,
     /// Known endpoints and their load.
@@ -55,7 +55,8 @@
     pub peers: RefCell<Peers>,
     /// Recent liveness probes, by endpoint.
     pub probe_results: RefCell<ProbeResults>,
-    /// Load on the engines: requests that wait for memory.
+    /// Queue of requests that wait for engine memory, and recent admissions and
+    /// refusals.
     pub pressure: RefCell<MemoryPressure>,
     /// Wakes every request when an endpoint is found dead or slow.
     pub faults: Notify,
@@ -69,13 +70,14 @@
     pub config_refresh: Notify,
     /// Wakes requests that wait for the configuration to be confirmed.
     pub config_confirmed: Notify,
-    /// When the store last answered.
+    /// When a call to the store last succeeded or ended in a conflict.
     pub last_store_answer: Cell<Option<Instant>>,
-    /// Whether the last call to the store failed.
+    /// Whether the last call to the store neither succeeded nor ended in a
+    /// conflict.
     pub store_lost: Cell<bool>,
     /// When the endpoint directory was last read.
     pub last_directory_read: Cell<Option<Instant>>,
-    /// Recent changes found in reports, to be gossiped to peers.
+    /// Recent changes found in reports, to be included in digests.
     pub observed: RefCell<Vec<(Instant, Observation)>>,
     /// Whether this router holds the placement lease.
     pub holds_placement_lease: Cell<bool>,
@@ -123,7 +125,7 @@
         Rc::new(Self {
             peers: RefCell::new(Peers::new(own_address, node.zone.clone(), &seeds, now)),
             node: RefCell::new(Rc::new(node)),
-            deployment: RefCell::default(),
+            active_config: RefCell::default(),
             config_freshness: Cell::default(),
             fleet: RefCell::default(),
             probe_results: RefCell::default(),
@@ -157,12 +159,12 @@
 
     /// The configuration in force.
     pub fn deployment(&self) -> Option<Rc<Deployment>> {
-        self.deployment.borrow().as_ref().map(|active| active.deployment.clone())
+        self.active_config.borrow().as_ref().map(|active| active.deployment.clone())
     }
 
     /// Revision in force; 0 before the first configuration.
     pub fn revision(&self) -> u64 {
-        self.deployment.borrow().as_ref().map_or(0, |active| active.deployment.revision)
+        self.active_config.borrow().as_ref().map_or(0, |active| active.deployment.revision)
     }
 
     /// Installs a configuration if it is newer than the one in force.
@@ -182,7 +184,7 @@
         );
         self.meter.config_revision(deployment.revision);
         let active = ActiveConfig { deployment: Rc::new(deployment), text: text.into() };
-        *self.deployment.borrow_mut() = Some(active);
+        *self.active_config.borrow_mut() = Some(active);
     }
 
     /// Records that the installed configuration was the newest at `started`.
@@ -244,7 +246,7 @@
         let bounds = self.node.borrow().bounds;
         let routers = self.peers.borrow().alive(clock::now()).count() + 1;
         self.peak_routers.set(self.peak_routers.get().max(routers));
-        let sharers = (self.peak_routers.get() as f64).max(MIN_RETRY_SHARERS);
+        let sharers = (self.peak_routers.get() as f64).max(MIN_RETRY_BUDGET_ROUTERS);
         WindowLimits {
             length: bounds.retry_window,
             per_request: bounds.retry_ratio,
--- a/mimosafront/tests/cluster/client.rs
+++ b/mimosafront/tests/cluster/client.rs
@@ -142,6 +142,7 @@
     /// first error.
     pub fn protocol_error(&self, request: &TestRequest) -> Option<String> {
         if self.status != 200 {
+            // Of the errors, only those with status 500 may be signed.
             return self.headers.contains_key("response-signature").then_some(()).and_then(|()| {
                 (self.status != 500).then(|| format!("{} has a signature", self.status))
             });
@@ -162,7 +163,9 @@
             let total = counts
                 .map_or(10, |(_, c)| c.split(',').nth(1).unwrap().parse::<u64>().unwrap() / 4);
             if !in_order || !own || self.complete && events.len() as u64 != total {
-                return Some(format!("events {events:?} of {total}, own {own}"));
+                return Some(format!(
+                    "{total} events expected, got {events:?}; all have the request's id: {own}"
+                ));
             }
             return None;
         }
--- a/mimosafront/tests/cluster/endpoints.rs
+++ b/mimosafront/tests/cluster/endpoints.rs
@@ -19,8 +19,8 @@
 pub struct RequestTrace {
     /// Number of executions.
     pub runs: usize,
-    /// When the request last reached an endpoint.
-    pub last: Option<Instant>,
+    /// When the request last reached an endpoint or its stream was cancelled.
+    pub last_activity: Option<Instant>,
     /// Team named by the router.
     pub team: Option<String>,
     /// Whether the client's key reached an endpoint.
@@ -39,9 +39,10 @@
     Unresponsive,
     /// Fails every request though it reports to be healthy.
     Failing,
-    /// Executes requests and closes the connection without a response.
+    /// Breaks off responses: plain services before the head, engines after two
+    /// events.
     DropsResponses,
-    /// Gives no report, and its streams pause for most of a second.
+    /// Gives no report, and each of its streams pauses once, for `STUCK_PAUSE`.
     Stuck,
 }
 
@@ -70,7 +71,8 @@
     pub traces: Mutex<HashMap<String, RequestTrace>>,
     /// Violations of invariants, as observed by endpoints.
     pub violations: Mutex<Vec<String>>,
-    pub running: Mutex<HashMap<String, Vec<engine::Hop>>>,
+    /// Chain of each request by id, also after the request has ended.
+    pub chains: Mutex<HashMap<String, Vec<engine::Hop>>>,
     pub options: ClusterOptions,
 }
 
@@ -134,7 +136,7 @@
             members: started,
             traces: Mutex::default(),
             violations: Mutex::default(),
-            running: Mutex::default(),
+            chains: Mutex::default(),
             options,
         });
         for (member, listener) in endpoints.members.iter().zip(listeners) {
--- a/mimosafront/tests/cluster/engine.rs
+++ b/mimosafront/tests/cluster/engine.rs
@@ -124,16 +124,16 @@
     }
 
     fn reroute(&self, order: &Value) -> Reply {
-        let (id, path) = (order["id"].as_str().unwrap(), order["path"].as_str().unwrap());
-        let path = parse_chain(path);
-        if let Some((address, ..)) = path.iter().find(|hop| !self.holds(hop)) {
+        let (id, chain) = (order["id"].as_str().unwrap(), order["path"].as_str().unwrap());
+        let chain = parse_chain(chain);
+        if let Some((address, ..)) = chain.iter().find(|hop| !self.holds(hop)) {
             return reply(409, &[], &json!({"address": address}).to_string());
         }
-        let mut running = self.endpoints.running.lock().unwrap();
-        let Some(running) = running.get_mut(id).filter(|now| now[0] == path[0]) else {
+        let mut chains = self.endpoints.chains.lock().unwrap();
+        let Some(current) = chains.get_mut(id).filter(|current| current[0] == chain[0]) else {
             return reply(404, &[], "{}");
         };
-        *running = path;
+        *current = chain;
         reply(200, &[], "{}")
     }
 
@@ -161,7 +161,7 @@
         }
         self.endpoints.update_trace(&id, |trace| {
             trace.runs += 1;
-            trace.last = Some(Instant::now());
+            trace.last_activity = Some(Instant::now());
             trace.team = header_text(headers, "tenant").map(str::to_owned);
             trace.key_leaked |= headers.contains_key("authorization");
             trace.call = format!("{path} {}", String::from_utf8_lossy(body));
@@ -173,7 +173,7 @@
             header_text(headers, "last-event-id").and_then(|e| e.parse().ok()).unwrap_or(0);
         let counts = header_text(headers, "token-counts").unwrap_or("0,40");
         let output: u64 = counts.split(',').nth(1).unwrap().trim().parse().unwrap();
-        self.endpoints.running.lock().unwrap().insert(id.clone(), hops);
+        self.endpoints.chains.lock().unwrap().insert(id.clone(), hops);
         let (sender, chunks) = mpsc::channel(1);
         tokio::spawn(self.clone().stream(id.clone(), after, output / 4, sender));
         let mut response = Response::new(ChunkedBody(chunks).boxed());
@@ -206,7 +206,8 @@
             }
             let data = format!("id: {event}\ndata: {id} {event}/{total}\n\n");
             if to.send(Some(data.into())).await.is_err() {
-                self.endpoints.update_trace(&id, |trace| trace.last = Some(Instant::now()));
+                self.endpoints
+                    .update_trace(&id, |trace| trace.last_activity = Some(Instant::now()));
                 return;
             }
             self.endpoints.update_trace(&id, |trace| trace.events += 1);
@@ -216,7 +217,7 @@
 
     /// Whether every hop of the chain of a request is alive, this one included.
     fn is_chain_alive(&self, id: &str) -> bool {
-        let hops = self.endpoints.running.lock().unwrap()[id].clone();
+        let hops = self.endpoints.chains.lock().unwrap()[id].clone();
         let alive = |hop: &Hop| {
             self.endpoints.at(hop.0).is_some_and(|m| {
                 let state = m.state();
@@ -233,13 +234,13 @@
     hops.iter().all(|(_, from, to)| std::mem::replace(&mut next, *to) == *from) && next == LAYERS
 }
 
-fn parse_chain(path: &str) -> Vec<Hop> {
+fn parse_chain(text: &str) -> Vec<Hop> {
     let hop = |text: &str| {
         let (address, layers) = text.split_once('=').unwrap();
         let (from, to) = layers.split_once('-').unwrap();
         (address.parse().unwrap(), from.parse().unwrap(), to.parse().unwrap())
     };
-    path.split(',').filter(|text| !text.is_empty()).map(hop).collect()
+    text.split(',').filter(|text| !text.is_empty()).map(hop).collect()
 }
 
 /// A chunk of a stream; `None` ends it, and without it the connection is closed
--- a/mimosafront/tests/cluster/mod.rs
+++ b/mimosafront/tests/cluster/mod.rs
@@ -50,7 +50,7 @@
     /// Time between two events of a stream.
     pub event_interval: Duration,
     /// Memory of an engine, in MB; a layer with its cache takes 250.
-    pub card_mb: u32,
+    pub engine_memory_mb: u32,
 }
 
 impl Default for ClusterOptions {
@@ -60,7 +60,7 @@
             zones: 2,
             engines_per_zone: 3,
             event_interval: Duration::from_millis(20),
-            card_mb: 1_000,
+            engine_memory_mb: 1_000,
         }
     }
 }
@@ -105,6 +105,7 @@
     pub fn prepare(options: ClusterOptions) -> Self {
         let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
         let process_id = std::process::id();
+        // Loopback network of this cluster, by cluster and process.
         let network = Ipv4Addr::new(127, 64 + (number % 64) as u8, (process_id % 250) as u8, 0);
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
@@ -138,8 +139,10 @@
 
     /// Writes the next configuration, with these teams and their keys.
     pub fn configure(&mut self, teams: &[(&str, &[&str])]) -> u64 {
+        // Revisions may skip numbers.
         self.revision += 3;
-        let config = configuration_json(self.revision, teams, self.endpoints.options.card_mb);
+        let config =
+            configuration_json(self.revision, teams, self.endpoints.options.engine_memory_mb);
         self.store.put("op", "config", &config);
         self.revision
     }
@@ -158,7 +161,7 @@
     Ipv4Addr::new(a, b, c, last)
 }
 
-fn configuration_json(revision: u64, teams: &[(&str, &[&str])], card_mb: u32) -> Value {
+fn configuration_json(revision: u64, teams: &[(&str, &[&str])], engine_memory_mb: u32) -> Value {
     let route = |name: &str, kind: &str, service: &str| {
         json!({
             "name": name, "host": HOST, "prefix": format!("/{name}/"), "kind": kind,
@@ -184,7 +187,7 @@
                 "usual": {"prompt": 100, "answer": 80},
                 "layers": LAYERS, "layer_mb": 100.0, "activation_bytes": 1_000,
                 "pipe_mbps": 16_000.0,
-                "kinds": [{"name": "card", "size_mb": card_mb, "pace": 1.0, "read_factor": 1.0}],
+                "kinds": [{"name": "card", "size_mb": engine_memory_mb, "pace": 1.0, "read_factor": 1.0}],
             }},
             {"name": "register", "health_path": "/health", "connection_limit": 100},
         ],
--- a/mimosafront/tests/cluster/plain.rs
+++ b/mimosafront/tests/cluster/plain.rs
@@ -1,4 +1,4 @@
-//! A service without an engine: a register of postings.
+//! A service without an engine.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -35,7 +35,7 @@
     }
 }
 
-/// Closes the connection without a response.
+/// Error that makes hyper close the connection without a response.
 #[derive(Debug)]
 struct DroppedConnection;
 
@@ -67,7 +67,7 @@
         }
         self.endpoints.update_trace(&id, |trace| {
             trace.runs += 1;
-            trace.last = Some(Instant::now());
+            trace.last_activity = Some(Instant::now());
             trace.team = header_text(&head.headers, "tenant").map(str::to_owned);
             trace.key_leaked |= head.headers.contains_key("authorization");
             trace.call = format!("{} {} {}", head.method, head.uri, String::from_utf8_lossy(&body));
--- a/mimosafront/tests/cluster/router.rs
+++ b/mimosafront/tests/cluster/router.rs
@@ -31,8 +31,7 @@
     start_count: usize,
 }
 
-/// Every machine of a deployment uses the same ports; returns some that are
-/// free on this one.
+/// Free ports, the same for every router of the test, as in a deployment.
 fn ports() -> [u16; 5] {
     static PORTS: OnceLock<[u16; 5]> = OnceLock::new();
     *PORTS.get_or_init(|| {
@@ -82,12 +81,12 @@
             child: None,
             start_count: 0,
         };
-        router.restart();
+        router.spawn();
         router
     }
 
-    /// Restarts the process with a new log file.
-    pub fn restart(&mut self) {
+    /// Starts the process with a new log file; it must not be running.
+    pub fn spawn(&mut self) {
         self.start_count += 1;
         let log = File::create(self.log_path()).unwrap();
         self.child = Some(self.command().stdout(log).spawn().unwrap());
--- a/mimosafront/tests/end_to_end.rs
+++ b/mimosafront/tests/end_to_end.rs
@@ -79,8 +79,8 @@
     }
 }
 
-/// Sends raw bytes and returns the response, until the router closes the
-/// connection or goes silent.
+/// Sends raw bytes and returns what the router sends back within 800 ms or until
+/// it closes the connection.
 fn send_raw(cluster: &TestCluster, bytes: &str) -> String {
     cluster.runtime.block_on(async {
         let mut stream = TcpStream::connect(cluster.routers[0].clients).await.unwrap();
@@ -141,7 +141,7 @@
     cluster.endpoints.get("register-0").state().health = Health::Failing;
     for _ in 0..5 {
         let request = TestRequest::read();
-        // The retry budget is earned by requests.
+        // Each request adds to the retry budget.
         send_until_served(&cluster, 0, TestRequest::post);
         let response = send(&cluster, 0, &request).unwrap();
         assert_eq!(response.protocol_error(&request), None);
@@ -173,10 +173,10 @@
     sending.into_iter().map(|sent| cluster.runtime.block_on(sent).unwrap()).collect()
 }
 
-/// Engines that are the first hop of a running chain, or a later one.
+/// Engines that are the first hop of a recorded chain, or a later one.
 fn engines_in_use(cluster: &TestCluster, first: bool) -> Vec<String> {
-    let running = cluster.endpoints.running.lock().unwrap();
-    let hops = running.values().flat_map(|hops| {
+    let chains = cluster.endpoints.chains.lock().unwrap();
+    let hops = chains.values().flat_map(|hops| {
         let (head, tail) = hops.split_at(1);
         if first { head.to_vec() } else { tail.to_vec() }
     });
@@ -190,7 +190,7 @@
 #[test]
 fn streams_survive_an_engine_that_stops_responding() {
     let cluster = TestCluster::start(ClusterOptions { routers: 1, ..ClusterOptions::default() });
-    // The retry budget is earned by requests.
+    // Each request adds to the retry budget.
     (0..40).for_each(|_| drop(send_until_served(&cluster, 0, TestRequest::post)));
     for first in [false, true] {
         let mut lost = String::new();
@@ -206,7 +206,7 @@
         assert!(complete.count() >= 10, "first {first}: {ended:?}");
         cluster.endpoints.get(&lost).restart();
         cluster.wait_until("layers are placed again", |cluster| cluster.endpoints.is_placed(2));
-        cluster.endpoints.running.lock().unwrap().clear();
+        cluster.endpoints.chains.lock().unwrap().clear();
     }
     assert_no_violations(&cluster);
 }
@@ -236,7 +236,7 @@
         routers: 2,
         zones: 1,
         engines_per_zone: 10,
-        card_mb: 280,
+        engine_memory_mb: 280,
         ..ClusterOptions::default()
     };
     let cluster = TestCluster::start(options);
@@ -268,6 +268,7 @@
     let first = engines_in_use(&cluster, true)[0].clone();
     cluster.endpoints.get(&first).proxy.set(LinkState::Reset);
     let is_reported = |line: &&str| {
+        // MS0515 is the code of the event "endpoint suspect".
         line.contains("MS0515") && line.contains("\"dead\":true") && line.contains(&first)
     };
     cluster.wait_until("the endpoint is known to be dead", |cluster| {
@@ -279,7 +280,8 @@
 fn interrupted_stream_resumes_at_another_endpoint() {
     let cluster = TestCluster::start(ClusterOptions { routers: 1, ..ClusterOptions::default() });
     send_until_served(&cluster, 0, TestRequest::post);
-    // The engine where chains start; the route allows one more attempt.
+    // Finds the first engine of the chains; the route allows one more attempt
+    // at another engine.
     send_until_served(&cluster, 0, || TestRequest::draft(2));
     let first =
         engines_in_use(&cluster, true).into_iter().find(|id| id.starts_with("engine-0")).unwrap();
@@ -327,7 +329,9 @@
         requests.iter().all(|request| cluster.endpoints.trace(&request.id).events > 3)
     });
     cluster.routers[0].signal(Signal::SIGTERM);
-    cluster.wait_until("it is not ready", |w| !w.runtime.block_on(w.routers[0].is_ready()));
+    cluster.wait_until("the router is not ready", |cluster| {
+        !cluster.runtime.block_on(cluster.routers[0].is_ready())
+    });
     for (request, sending) in requests.iter().zip(sending) {
         let response = cluster.runtime.block_on(sending).unwrap().unwrap();
         assert_eq!(
@@ -335,6 +339,7 @@
             (200, true, None)
         );
     }
+    // SIGCONT has no effect here: this only waits for the exit.
     assert_eq!(cluster.routers[0].stop(Signal::SIGCONT), Some(0));
 }
 
@@ -350,6 +355,7 @@
     }
     let log = cluster.routers[0].log();
     assert!(log.contains("endpoint leaving"));
+    // The last request sent to register-0.
     let last = log.rfind("register-0\",\"attempt").unwrap_or(0);
     assert!(last < log.find("endpoint leaving").unwrap(), "{}", &log[last..]);
 }
@@ -375,7 +381,7 @@
     // Once the store is reachable again, the old key is unknown and the new one
     // works.
     cluster.store_proxies[0].set(LinkState::Up);
-    cluster.wait_until("it is denied", |cluster| {
+    cluster.wait_until("the old key is denied", |cluster| {
         send(cluster, 0, &TestRequest::post()).is_some_and(|response| response.status == 401)
     });
     send_until_served(&cluster, 0, || TestRequest { key: OTHER_KEY.into(), ..TestRequest::post() });
@@ -387,8 +393,9 @@
     send_until_served(&cluster, 1, TestRequest::post);
     cluster.store_proxies[1].set(LinkState::Silent);
     cluster.configure(&[(TEAM, &[OTHER_KEY])]);
-    // The key is revoked at the second router as well, and the new one is
-    // accepted there for longer than without a confirmation from a peer.
+    // The key is revoked at the second router as well. The new one is still
+    // accepted there after the revocation bound, since the peer confirms the
+    // configuration.
     let disconnected_at = Instant::now();
     while disconnected_at.elapsed() < REVOCATION_BOUND + Duration::from_secs(2) {
         std::thread::sleep(Duration::from_millis(200));
@@ -436,7 +443,7 @@
         router.stop(Signal::SIGKILL);
     }
     for router in &mut cluster.routers {
-        router.restart();
+        router.spawn();
     }
     send_until_served(&cluster, 0, || TestRequest::draft(5));
     std::thread::sleep(Duration::from_secs(4));
@@ -449,7 +456,7 @@
         TestCluster::start(ClusterOptions { routers: 1, ..ClusterOptions::default() });
     cluster.routers[0].restart_with_unread_log();
     send_until_served(&cluster, 0, TestRequest::post);
-    // Far more lines than a pipe and the log queue hold.
+    // Logs far more lines than a pipe and the log queue hold.
     let (to, tasks, each) = (cluster.routers[0].clients, 20, 200);
     let answered = cluster.runtime.block_on(async {
         let mut sending = Vec::new();
@@ -481,12 +488,12 @@
     let settings = cluster.routers[0].folder().join("settings.conf");
     let text = std::fs::read_to_string(&settings).unwrap();
     std::fs::write(&settings, text.replace("bounds.grace_s=6", "bounds.grace_s=soon")).unwrap();
-    cluster.wait_until("it is reported", |cluster| {
+    cluster.wait_until("the invalid settings are reported", |cluster| {
         cluster.routers[0].log().contains("bounds.grace_s is \\\"soon\\\"")
     });
     std::fs::write(&settings, text.replace("bounds.grace_s=6", "bounds.grace_s=7")).unwrap();
     cluster.routers[0].signal(Signal::SIGHUP);
-    cluster.wait_until("it is reloaded", |cluster| {
+    cluster.wait_until("the settings are reloaded", |cluster| {
         cluster.routers[0].log().contains("settings reloaded")
     });
     send_until_served(&cluster, 0, TestRequest::post);
--- a/mimosafront/tests/soak.rs
+++ b/mimosafront/tests/soak.rs
@@ -73,16 +73,18 @@
     let mut revoked = None;
     let mut pending: Vec<(Instant, Repair)> = Vec::new();
     while Instant::now() < end {
-        let (repair, time) = inject_fault(&mut cluster, &mut rng, &mut revoked);
-        pending.push((Instant::now() + time, repair));
+        let (repair, repair_after) = inject_fault(&mut cluster, &mut rng, &mut revoked);
+        pending.push((Instant::now() + repair_after, repair));
         let pause = Duration::from_millis(rng.random_range(100..900));
         std::thread::sleep(pause);
         pending = apply_due_repairs(&mut cluster, pending, Instant::now());
     }
     std::thread::sleep(Duration::from_millis(500));
+    // Applies all repairs, whenever they are due.
     apply_due_repairs(&mut cluster, pending, Instant::now() + Duration::from_secs(3_600));
     let mut violations = check_recovery(&mut cluster);
     *stop.lock().unwrap() = true;
+    // Longer than the timeout of a request.
     std::thread::sleep(Duration::from_secs(7));
     violations.extend(cluster.endpoints.violations.lock().unwrap().drain(..));
     violations.extend(check_history(&cluster, &history.lock().unwrap(), revoked));
@@ -138,11 +140,13 @@
     }
 }
 
-/// How an injected fault is repaired.
+/// How an injected fault is repaired; routers are given by index.
 enum Repair {
     Nothing,
     Restart(usize),
+    /// Sends SIGCONT to a suspended router.
     Continue(usize),
+    /// Restores the link between a router and the store.
     StoreLink(usize),
     Store,
     Endpoint(String),
@@ -154,7 +158,7 @@
     rng: &mut StdRng,
     revoked: &mut Option<Instant>,
 ) -> (Repair, Duration) {
-    let time = Duration::from_millis(rng.random_range(200..3_500));
+    let repair_after = Duration::from_millis(rng.random_range(200..3_500));
     let router = rng.random_range(0..cluster.routers.len());
     let links = [
         LinkState::Delayed(Duration::from_millis(150)),
@@ -215,7 +219,7 @@
             Repair::Nothing
         }
     };
-    (repair, time)
+    (repair, repair_after)
 }
 
 /// Applies the repairs that are due and returns the others.
@@ -230,12 +234,12 @@
             Repair::Nothing => {}
             Repair::Restart(router) => {
                 let router = &mut cluster.routers[router];
-                // The router may have been stopped or killed in the meantime.
+                // The router may be suspended or have exited in the meantime.
                 if router.is_running() {
                     router.signal(Signal::SIGCONT);
                     router.stop(Signal::SIGTERM);
                 }
-                router.restart();
+                router.spawn();
             }
             Repair::Continue(router) => cluster.routers[router].signal(Signal::SIGCONT),
             Repair::StoreLink(router) => cluster.store_proxies[router].set(LinkState::Up),
@@ -304,6 +308,7 @@
         if let Some(wrong) = response.protocol_error(request) {
             record(wrong);
         }
+        // These tell the client that the request was not executed.
         if [408, 421, 429, 503].contains(&response.status) && trace.runs > 0 {
             record(format!("status {}, executed {} times", response.status, trace.runs));
         }
