--- a/mimosashift/src/admit/limit.rs
+++ b/mimosashift/src/admit/limit.rs
@@ -12,12 +12,13 @@
 
 /// Burst that is always allowed, in requests, however low the rate.
 const MIN_BURST_REQUESTS: f64 = 2.0;
-/// Time without a charged request after which a team is idle.
+/// Time without a request, admitted or refused, after which a team is idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest retry delay returned to a caller.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Token buckets of the active teams on this router.
+/// Rate limiters (token buckets) of the teams that recently sent requests to this
+/// router.
 #[derive(Default)]
 pub struct TeamLimits {
     teams: HashMap<Name, Allowance>,
@@ -27,7 +28,7 @@
     requests: Bucket,
     tokens: Bucket,
     refilled_at: Instant,
-    last_charged: Instant,
+    last_request_at: Instant,
 }
 
 /// A token bucket that may go into debt by one request.
@@ -38,10 +39,12 @@
 struct Bucket {
     /// Limit over all routers, per second; 0 means no limit.
     limit: u32,
-    /// Cost of the most recent request.
+    /// Cost of the most recent request, in the unit of the limit: requests or model
+    /// tokens.
     cost: f64,
     /// This router's share of the limit, per second.
     rate: f64,
+    /// Available amount, negative while in debt, in the unit of the limit.
     balance: f64,
 }
 
@@ -63,8 +66,8 @@
         allowance.requests.configure(team.requests_per_second, 1.0);
         allowance.tokens.configure(team.tokens_per_second, f64::from(cost));
         allowance.refill(now, shares.fraction(now, TeamId::from(name)));
-        allowance.last_charged = now;
-        let wait = allowance.time_to_refill();
+        allowance.last_request_at = now;
+        let wait = allowance.time_to_zero_balance();
         if wait > Duration::ZERO {
             return Err(wait);
         }
@@ -101,8 +104,8 @@
     /// Drops idle teams that are not in debt.
     pub fn expire(&mut self, now: Instant) {
         self.teams.retain(|_, allowance| {
-            now.since(allowance.last_charged) < IDLE_TIMEOUT
-                || allowance.time_to_refill() > Duration::ZERO
+            now.since(allowance.last_request_at) < IDLE_TIMEOUT
+                || allowance.time_to_zero_balance() > Duration::ZERO
         });
     }
 
@@ -115,7 +118,7 @@
 impl Allowance {
     fn new(now: Instant) -> Self {
         let (requests, tokens) = (Bucket::default(), Bucket::default());
-        Self { requests, tokens, refilled_at: now, last_charged: now }
+        Self { requests, tokens, refilled_at: now, last_request_at: now }
     }
 
     fn refill(&mut self, now: Instant, fraction: f64) {
@@ -125,8 +128,8 @@
         self.tokens.refill(elapsed, fraction);
     }
 
-    fn time_to_refill(&self) -> Duration {
-        self.requests.time_to_refill().max(self.tokens.time_to_refill())
+    fn time_to_zero_balance(&self) -> Duration {
+        self.requests.time_to_zero_balance().max(self.tokens.time_to_zero_balance())
     }
 }
 
@@ -148,7 +151,7 @@
     }
 
     /// Time until the balance is no longer negative.
-    fn time_to_refill(&self) -> Duration {
+    fn time_to_zero_balance(&self) -> Duration {
         if self.limit == 0 || self.balance >= 0.0 {
             return Duration::ZERO;
         }
--- a/mimosashift/src/admit/mod.rs
+++ b/mimosashift/src/admit/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Admission`] is a state machine without I/O. Every submitted request is
 //! either refused and never dispatched, or dispatched once and released once,
-//! unless it is cancelled while queued. `docs/design/admission.md` gives the
-//! reasons.
+//! unless it is cancelled while queued. The design is explained in
+//! `docs/design/admission.md`.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -24,10 +24,12 @@
 
 /// Shortest retry delay returned to a caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Longest retry delay returned to a caller.
+/// Longest estimated wait in the queue and longest retry delay returned to a
+/// caller.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
-/// Weight of the most recent request in the measured service rate.
-const RATE_SMOOTHING: f64 = 0.05;
+/// Weight of the most recent request in the moving averages of tokens and of
+/// service time.
+const NEWEST_REQUEST_WEIGHT: f64 = 0.05;
 
 /// Identifies a submitted request on this router, in order of submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -49,7 +51,7 @@
 /// A request submitted for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Name of the team.
+    /// Name of the team that sent the request.
     pub name: &'a Name,
     /// The team's weight and limits.
     pub team: &'a Team,
@@ -92,7 +94,7 @@
     },
 }
 
-/// How a dispatched request ended.
+/// Cost of a dispatched request, and whether it met an overloaded endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
     /// Actual number of tokens.
@@ -106,7 +108,10 @@
     bounds: Bounds,
     next_ticket: u64,
     queue: Queue,
+    /// Queued requests by latest start: the last time at which a request can be
+    /// dispatched and still meet its deadline.
     by_latest_start: BTreeSet<(Instant, Ticket)>,
+    /// The latest start of each queued request.
     latest_starts: HashMap<Ticket, Instant>,
     running: HashMap<Ticket, Running>,
     slots: Slots,
@@ -261,7 +266,8 @@
         self.limits.teams()
     }
 
-    /// Estimated time until a new request is dispatched.
+    /// Estimated time until the requests queued ahead of a new one are served, at
+    /// most [`MAX_RETRY_AFTER`]. Running requests are not counted.
     fn estimated_wait(&self, request: &Request<'_>) -> Duration {
         let cost_ahead = self.queue.cost_ahead(request.level, request.name, request.team.weight);
         let tokens_per_second = self.rate.per_slot() * self.slots.limit() as f64;
@@ -287,7 +293,7 @@
     }
 
     fn shed_excess(&mut self, wait: Duration, out: &mut Vec<Action>) {
-        // A free slot dequeues one request immediately.
+        // If a slot is free, `dispatch` removes one request right after this.
         let free_slots = usize::from(self.slots.used() < self.slots.limit());
         while self.queue.len() > self.bounds.queued + free_slots
             || self.queue.bytes() > self.bounds.queued_bytes
@@ -307,7 +313,8 @@
         }
     }
 
-    /// Refunds the charge of a request that leaves the queue without running.
+    /// Refunds the charge of a request that leaves the queue without running and
+    /// removes its latest start.
     fn refund(&mut self, item: &Item) {
         self.remove_latest_start(item.ticket);
         self.limits.refund(&item.team, item.cost);
@@ -327,8 +334,8 @@
 
 impl ServiceRate {
     fn add(&mut self, tokens: u32, time: Duration) {
-        self.tokens += RATE_SMOOTHING * (f64::from(tokens) - self.tokens);
-        self.seconds += RATE_SMOOTHING * (time.as_secs_f64() - self.seconds);
+        self.tokens += NEWEST_REQUEST_WEIGHT * (f64::from(tokens) - self.tokens);
+        self.seconds += NEWEST_REQUEST_WEIGHT * (time.as_secs_f64() - self.seconds);
     }
 
     /// Tokens per second of one slot; infinite until a request has ended.
--- a/mimosashift/src/admit/pressure.rs
+++ b/mimosashift/src/admit/pressure.rs
@@ -1,7 +1,7 @@
 //! Waiting and retry delays when the engines are short of memory.
 //!
-//! A request may wait only as long as it can still be answered in time, and
-//! only as many requests may wait as are served in that time. The larger the
+//! A request may wait for at most [`MAX_WAIT`], and only as many requests may
+//! wait as are admitted in that time at the recent rate. The larger the
 //! fraction of requests being refused, the longer the retry delay returned to
 //! a refused client.
 
@@ -9,27 +9,28 @@
 
 use crate::time::Instant;
 
-/// Longest wait for memory. Together with the usual time to the first event it
-/// stays within the shortest latency objective in use, 500 ms.
+/// Maximum time for which a request may wait for engine memory. It leaves enough
+/// of the shortest latency objective, 500 ms, for the usual time to the first
+/// event.
 pub const MAX_WAIT: Duration = Duration::from_millis(250);
 
 /// Time constant of the decaying counts of admitted and refused requests.
 const AVERAGING_TIME: Duration = Duration::from_secs(2);
 
-/// Shortest retry delay; a client that is admitted on its first retry is still
-/// answered in time.
+/// Minimum retry delay, short enough that a client admitted on its first retry
+/// is still answered in time.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Fraction of refusals that does not count as a shortage: single requests that
-/// met a full endpoint.
-const TRANSIENT_REFUSALS: f64 = 0.02;
+/// Fraction of requests that may be refused without lengthening the retry delay,
+/// since single endpoints can be full without a general shortage.
+const IGNORED_REFUSED_FRACTION: f64 = 0.02;
 
-/// Longest retry delay, returned when everything is refused: a third of the
-/// usual deadline of 20 s, beyond which clients do not wait.
+/// Upper bound of the retry delay: a third of 20 s, the usual deadline after which
+/// clients stop waiting.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(6_500);
 
 /// Number of requests that may always wait, whatever the recent admission rate.
-const MIN_WAIT_CAPACITY: f64 = 2.0;
+const MIN_WAITING_REQUESTS: f64 = 2.0;
 
 /// Recent admissions and refusals, and the number of waiting requests.
 #[derive(Clone, Debug, Default)]
@@ -46,7 +47,7 @@
     pub fn begin_wait(&mut self, now: Instant) -> bool {
         self.decay(now);
         let admitted_per_second = self.admitted / AVERAGING_TIME.as_secs_f64();
-        let capacity = (admitted_per_second * MAX_WAIT.as_secs_f64()).max(MIN_WAIT_CAPACITY);
+        let capacity = (admitted_per_second * MAX_WAIT.as_secs_f64()).max(MIN_WAITING_REQUESTS);
         let may_wait = (self.waiting as f64) < capacity;
         self.waiting += usize::from(may_wait);
         may_wait
@@ -81,7 +82,7 @@
         let share = if total > 0.0 { self.refused / total } else { 0.0 };
         let spread = MAX_RETRY_AFTER
             .saturating_sub(MIN_RETRY_AFTER)
-            .mul_f64((share - TRANSIENT_REFUSALS).max(0.0).sqrt() * random);
+            .mul_f64((share - IGNORED_REFUSED_FRACTION).max(0.0).sqrt() * random);
         MIN_RETRY_AFTER + spread
     }
 
--- a/mimosashift/src/admit/queue.rs
+++ b/mimosashift/src/admit/queue.rs
@@ -2,8 +2,9 @@
 //! between the teams of a level.
 //!
 //! The queue uses start-time fair queueing, see `docs/design/admission.md`.
-//! Every operation takes time logarithmic in the number of queued requests and
-//! active teams.
+//! Adding, removing and correcting a request takes amortized time logarithmic in
+//! the number of queued requests and active teams; sums over the levels take time
+//! linear in their number.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -49,17 +50,24 @@
     /// Teams with nothing queued that have used more than their share, by
     /// virtual start.
     idle: BTreeSet<(u64, Name)>,
+    /// Largest virtual start of the requests dequeued so far.
     virtual_time: u64,
+    /// Estimated cost of the queued requests, in tokens.
     cost: u64,
+    /// Sum of the weights of the backlogged teams.
     weight: u64,
+    /// Total size of the queued requests.
     bytes: usize,
 }
 
 /// The queue of one team within a level.
 struct Flow {
     weight: u32,
+    /// Virtual start of the oldest queued request, or of the next one to arrive.
     start: u64,
+    /// Estimated cost of the queued requests, in tokens.
     cost: u64,
+    /// Queued requests with their estimated costs.
     queue: BTreeMap<Ticket, u32>,
 }
 
@@ -137,7 +145,8 @@
         Some(item)
     }
 
-    /// Replaces the estimated cost of a served request by the actual one.
+    /// Replaces the estimated cost of a served request by the actual one, unless
+    /// nothing is queued at its level.
     pub fn correct(&mut self, item: &Item, actual: u32) {
         if self.levels.contains_key(&item.level) {
             self.update_level(item, |level| level.correct(item, actual));
@@ -156,9 +165,9 @@
 }
 
 impl Level {
-    /// If every team is backlogged, a request waits for its own team's queue
-    /// and for the share that the other teams are served meanwhile, but never
-    /// for more than the whole level.
+    /// Estimated cost served before a new request of `team`: the team's queued cost
+    /// divided by its share of the weights, since the other teams are served in
+    /// between, but at most the queued cost of the level.
     fn cost_ahead(&self, team: &Name, weight: u32) -> u64 {
         let own = self.flows.get(team);
         let own_cost = own.map_or(0, |flow| flow.cost);
@@ -228,6 +237,7 @@
         self.flows.insert(team.clone(), flow);
     }
 
+    /// Drops the idle teams that are no longer ahead of the virtual time.
     fn remove_idle(&mut self) {
         while self.idle.first().is_some_and(|(start, _)| *start <= self.virtual_time) {
             if let Some((_, team)) = self.idle.pop_first() {
--- a/mimosashift/src/admit/slots.rs
+++ b/mimosashift/src/admit/slots.rs
@@ -2,10 +2,11 @@
 //!
 //! Until an endpoint first refuses a request as overloaded, the limit doubles
 //! each time that a full set of requests has completed, as long as all slots
-//! are in use. From then on each request without a refusal raises it by
-//! [`LIMIT_INCREASE`] and each one with a refusal lowers it by
-//! [`LIMIT_DECREASE`], so that it settles where a small share of requests
-//! meets a full endpoint, whatever the rate.
+//! are in use. From then on each request released without a refusal while
+//! all slots are in use raises it by [`LIMIT_INCREASE`], and each one with a
+//! refusal lowers it by [`LIMIT_DECREASE`]. While all slots are in use, it thus
+//! settles where about one in eleven requests is refused as overloaded, at any
+//! request rate.
 
 /// Slots added by a request that met no refusal while all slots were in use.
 pub const LIMIT_INCREASE: f64 = 0.1;
--- a/mimosashift/src/freshness.rs
+++ b/mimosashift/src/freshness.rs
@@ -2,15 +2,17 @@
 //!
 //! A key may be revoked at any time. A read of the store proves that the key
 //! had not been revoked when the read began, so the key may be accepted until
-//! the revocation bound has passed since then. See
+//! the revocation bound, the maximum time from the revocation of a key until
+//! every router refuses it, has passed since then. See
 //! `docs/design/deployment.md`, "Staleness".
 
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// The bound is shortened by one part in this many, to allow for clock drift.
-const MARGIN_DIVISOR: u32 = 20;
+/// The revocation bound divided by this is subtracted from it, to allow for clock
+/// drift.
+const CLOCK_DRIFT_DIVISOR: u32 = 20;
 
 /// When the installed configuration was last confirmed to be the newest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -21,7 +23,8 @@
 /// A confirmation forwarded by a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerConfirmation {
-    /// When this router sent the timestamp that the peer echoed.
+    /// When this router sent the message whose timestamp the peer returned with the
+    /// confirmation.
     pub request_sent: Instant,
     /// Revision installed at the peer.
     pub revision: u64,
@@ -53,6 +56,6 @@
 
     /// Whether keys may be accepted under the revocation bound `bound`.
     pub fn is_fresh(&self, bound: Duration, now: Instant) -> bool {
-        self.age(now).is_some_and(|age| age < bound - bound / MARGIN_DIVISOR)
+        self.age(now).is_some_and(|age| age < bound - bound / CLOCK_DRIFT_DIVISOR)
     }
 }
--- a/mimosashift/src/health/ejection.rs
+++ b/mimosashift/src/health/ejection.rs
@@ -15,12 +15,15 @@
 /// The most recent ejection of an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Ejection {
+    /// Cause and end of the most recent ejection.
     latest: Option<(Availability, Instant)>,
+    /// Number of ejections since the backoff was last reset.
     count: u8,
 }
 
 impl Ejection {
-    /// Ejects the endpoint, each time for twice as long as before.
+    /// Ejects the endpoint for twice the previous time, up to `max_ejection`, with
+    /// jitter; after `backoff_reset` without an ejection, for `base_ejection`.
     pub(super) fn eject(
         &mut self,
         cause: Availability,
@@ -46,12 +49,12 @@
 
     pub(super) fn weight(&self, settings: &Settings, now: Instant) -> f32 {
         let Some((_, until)) = self.latest else { return 1.0 };
-        let progress = now.since(until).as_secs_f32() / settings.ramp.as_secs_f32().max(1e-6);
+        let progress = now.since(until).as_secs_f32() / settings.ramp_time.as_secs_f32().max(1e-6);
         (INITIAL_WEIGHT + (1.0 - INITIAL_WEIGHT) * progress).min(1.0)
     }
 
     /// Ends an ejection early, so that the return to full weight starts at `now`.
-    pub(super) fn lift(&mut self, now: Instant) {
+    pub(super) fn end_early(&mut self, now: Instant) {
         if let Some((_, until)) = &mut self.latest {
             *until = (*until).min(now);
         }
--- a/mimosashift/src/health/leaving.rs
+++ b/mimosashift/src/health/leaving.rs
@@ -5,26 +5,29 @@
 
 /// Whether an endpoint is leaving, according to the VM list and the endpoint.
 ///
-/// Both parts only ever increase in their ordering, so routers that exchange
-/// them converge whatever the order of the messages.
+/// Merging takes the greater value of each part, so routers that exchange them
+/// converge whatever the order of the messages.
+///
+/// An incarnation is a number that increases with each start of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingState {
-    vm_list: VmListStatement,
-    endpoint: EndpointStatement,
+    vm_list: VmListEntry,
+    endpoint: EndpointState,
 }
 
-/// The newest entry of the VM list.
+/// The endpoint's entry in the newest VM list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-struct VmListStatement {
+struct VmListEntry {
     generation: u64,
     leaving: bool,
     /// Newest incarnation known when the entry was received.
     incarnation: u64,
 }
 
-/// The newest state reported by the endpoint; incarnation 0 means none yet.
+/// The newest state reported by the endpoint; incarnation 0 means that none
+/// is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-struct EndpointStatement {
+struct EndpointState {
     incarnation: u64,
     leaving: bool,
 }
@@ -33,16 +36,17 @@
     /// Applies an entry of the VM list.
     pub(super) fn apply_vm_list(&mut self, generation: u64, leaving: bool) {
         let incarnation = self.endpoint.incarnation;
-        self.vm_list = self.vm_list.max(VmListStatement { generation, leaving, incarnation });
+        self.vm_list = self.vm_list.max(VmListEntry { generation, leaving, incarnation });
     }
 
-    /// Applies a state reported by the endpoint at `incarnation`.
+    /// Applies a state reported by incarnation `incarnation` of the endpoint.
     pub(super) fn apply_report(&mut self, incarnation: u64, leaving: bool) {
-        self.endpoint = self.endpoint.max(EndpointStatement { incarnation, leaving });
+        self.endpoint = self.endpoint.max(EndpointState { incarnation, leaving });
     }
 
-    /// Records a refusal by the current incarnation; false if that is unknown.
-    pub(super) fn record_refusal(&mut self) -> bool {
+    /// Records that the current incarnation is leaving; returns false if no
+    /// incarnation is known.
+    pub(super) fn record_leaving(&mut self) -> bool {
         let known = self.endpoint.incarnation > 0;
         self.endpoint.leaving |= known;
         known
--- a/mimosashift/src/health/mod.rs
+++ b/mimosashift/src/health/mod.rs
@@ -10,11 +10,11 @@
 use crate::time::Instant;
 
 mod ejection;
-mod factor;
 mod leaving;
 pub mod probe;
 mod registry;
 mod report;
+mod slowness;
 mod state;
 pub mod time_model;
 
@@ -22,7 +22,7 @@
 pub use registry::{Exchange, Registry};
 pub use report::{Error, Report, ReportBatch};
 
-/// Parameters of ejection and return.
+/// Settings of health tracking.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Consecutive failures after which an endpoint is ejected as unreachable.
@@ -32,19 +32,21 @@
     /// Longest duration of an ejection, before jitter.
     pub max_ejection: Duration,
     /// Largest fraction of an endpoint group that may be ejected for slowness, 0
-    /// to 1. Unreachable endpoints count towards it.
+    /// to 1. Every endpoint of the group that is not live counts towards
+    /// it.
     pub max_ejected_share: f64,
-    /// An endpoint this many times slower than its group's median is an outlier.
+    /// An endpoint at least this many times slower than its group's median is an
+    /// outlier; a median below the declared time counts as the declared time.
     pub outlier_ratio: f32,
-    /// Exchanges observed before an endpoint can be an outlier.
-    pub outlier_samples: u32,
+    /// Minimum number of exchanges observed before an endpoint can be an outlier.
+    pub min_outlier_samples: u32,
     /// Time over which a returning endpoint regains its full weight.
-    pub ramp: Duration,
-    /// Time without a new ejection after which the ejection time is reset to
-    /// `base_ejection`.
+    pub ramp_time: Duration,
+    /// Time since the end of the last ejection after which the ejection time is
+    /// reset to `base_ejection`.
     pub backoff_reset: Duration,
-    /// Time for which an endpoint gets no new work after it answered that it is
-    /// overloaded.
+    /// Mean time for which an endpoint gets no new work after it answered that it is
+    /// overloaded; the actual time varies at random by up to half.
     pub overload_pause: Duration,
     /// Largest lead of another router's clock for which its reports are accepted.
     pub max_clock_skew: Duration,
@@ -63,7 +65,7 @@
     Leaving,
 }
 
-/// Snapshot of one endpoint's state, for the selection of a chain.
+/// One endpoint's state at a point in time, for the selection of a chain.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Condition {
     /// Whether it may be used.
@@ -78,7 +80,8 @@
     /// Fraction of its normal work that it gets, above 0 and up to 1; below 1
     /// while it returns from ejection.
     pub weight: f32,
-    /// Whether it answered within the overload pause that it is overloaded.
+    /// Whether it is in the overload pause that follows an answer that it is
+    /// overloaded.
     pub overloaded: bool,
 }
 
@@ -108,8 +111,8 @@
             max_ejection: Duration::from_secs(120),
             max_ejected_share: 0.3,
             outlier_ratio: 8.0,
-            outlier_samples: 5,
-            ramp: Duration::from_secs(30),
+            min_outlier_samples: 5,
+            ramp_time: Duration::from_secs(30),
             backoff_reset: Duration::from_secs(300),
             overload_pause: Duration::from_millis(500),
             max_clock_skew: Duration::from_secs(5),
--- a/mimosashift/src/health/registry.rs
+++ b/mimosashift/src/health/registry.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-use super::state::{DeclaredSpeed, State};
+use super::state::{DeclaredPerformance, EndpointHealth};
 use super::{Availability, Condition, Error, HealthView, Report, ReportBatch, Settings};
 use crate::engine::{Failure, Load};
 use crate::resource::{Endpoint, Name, Role, Snapshot};
@@ -33,10 +33,10 @@
 pub struct Registry {
     settings: Settings,
     router_count: u32,
-    states: HashMap<Name, State>,
+    states: HashMap<Name, EndpointHealth>,
 }
 
-/// Commands.
+/// Methods that change the state.
 impl Registry {
     /// Creates an empty registry.
     pub fn new(settings: Settings) -> Self {
@@ -51,9 +51,10 @@
         for (name, endpoint) in snapshot.endpoints() {
             let next = groups.len() as u32;
             let group = *groups.entry(group_key(endpoint)).or_insert(next);
-            let declared = declared_speed(endpoint, distances);
-            let mut state = old.remove(name).unwrap_or_else(|| State::new(group, declared));
-            state.group = group;
+            let declared = declared_performance(endpoint, distances);
+            let mut state =
+                old.remove(name).unwrap_or_else(|| EndpointHealth::new(group, declared));
+            state.outlier_group = group;
             state.declared = declared;
             self.states.insert(name.clone(), state);
         }
@@ -84,7 +85,7 @@
     pub fn record_success(&mut self, endpoint: &Name, exchange: &Exchange, now: Instant) {
         let Some(state) = self.states.get_mut(endpoint) else { return };
         state.consecutive_failures = 0;
-        state.samples = state.samples.saturating_add(1);
+        state.observed_exchanges = state.observed_exchanges.saturating_add(1);
         let total = micros(exchange.total);
         let link = match exchange.service {
             Some(service) => (total - micros(service)).max(0.0),
@@ -114,7 +115,7 @@
         let Some(state) = self.states.get_mut(endpoint) else { return };
         match failure {
             Failure::Leaving if started < state.incarnation_seen_at => {}
-            Failure::Leaving => state.record_refusal(),
+            Failure::Leaving => state.record_leaving(),
             Failure::Overloaded => {
                 let pause = self.settings.overload_pause.mul_f64(rng.random_range(0.5..1.5));
                 state.paused_until = now + pause;
@@ -149,7 +150,7 @@
         leaving_state.apply_report(incarnation, false);
         state.merge_leaving(&leaving_state, now);
         if load.leaving {
-            state.record_refusal();
+            state.record_leaving();
         }
         let leaving_state = state.leaving_state;
         let endpoint = endpoint.clone();
@@ -171,7 +172,8 @@
     }
 
     /// Merges reports from another router, in any order and any number of times;
-    /// returns an error for each report that was not used.
+    /// returns an error for each report that was rejected. Outdated reports are
+    /// ignored.
     pub fn merge(&mut self, batch: &ReportBatch, now: Instant) -> Vec<Error> {
         batch.reports.iter().filter_map(|report| self.merge_one(report, now).err()).collect()
     }
@@ -181,7 +183,7 @@
         let mut groups: HashMap<u32, Vec<(f32, &Name)>> = HashMap::new();
         for (name, state) in &self.states {
             let slowness = state.slowness(now);
-            groups.entry(state.group).or_default().push((slowness, name));
+            groups.entry(state.outlier_group).or_default().push((slowness, name));
         }
         let mut outliers = Vec::new();
         for members in groups.values_mut() {
@@ -199,22 +201,23 @@
         let endpoint = &report.endpoint;
         let lead = report.polled_at.since(now);
         if lead > self.settings.max_clock_skew {
-            return Err(Error::Future { endpoint: endpoint.clone(), lead });
+            return Err(Error::TooFarInFuture { endpoint: endpoint.clone(), lead });
         }
         let state = self
             .states
             .get_mut(endpoint)
-            .ok_or_else(|| Error::Unknown { endpoint: endpoint.clone() })?;
+            .ok_or_else(|| Error::UnknownEndpoint { endpoint: endpoint.clone() })?;
         state.merge_report(report);
         Ok(())
     }
 }
 
-/// Queries.
+/// Methods that read the state.
 impl Registry {
     /// Reports polled after `since` or on leaving endpoints, for other routers.
     pub fn reports_since(&self, since: Instant) -> ReportBatch {
-        let is_shared = |state: &State| state.polled_at > since || state.leaving_state.is_leaving();
+        let is_shared =
+            |state: &EndpointHealth| state.polled_at > since || state.leaving_state.is_leaving();
         let states = self.states.iter().filter(|(_, state)| is_shared(state));
         let mut reports: Vec<Report> =
             states.map(|(name, state)| build_report(name, state)).collect();
@@ -246,7 +249,9 @@
             .take_while(|(slowness, _)| *slowness >= limit)
             .map(|(_, name)| *name)
             .filter(|name| availability(name) == Availability::Live)
-            .filter(|name| self.states[*name].samples >= self.settings.outlier_samples)
+            .filter(|name| {
+                self.states[*name].observed_exchanges >= self.settings.min_outlier_samples
+            })
             .take(allowed.saturating_sub(ejected))
             .collect()
     }
@@ -259,7 +264,7 @@
     }
 }
 
-fn build_report(endpoint: &Name, state: &State) -> Report {
+fn build_report(endpoint: &Name, state: &EndpointHealth) -> Report {
     Report {
         endpoint: endpoint.clone(),
         polled_at: state.polled_at,
@@ -269,8 +274,8 @@
     }
 }
 
-/// Key of the endpoint's group: endpoints with the same key are
-/// interchangeable.
+/// Key of the group in which the endpoint's slowness is compared: the same
+/// service, or the same pipeline, version and first layer of the first held range.
 fn group_key(endpoint: &Endpoint) -> (Option<&Name>, u32, u16) {
     match &endpoint.role {
         Role::Service(service) => (Some(service), 0, 0),
@@ -281,17 +286,20 @@
     }
 }
 
-fn declared_speed(endpoint: &Endpoint, distances: &Distances) -> DeclaredSpeed {
-    let crossing_us = micros(distances.to(&endpoint.domain));
+fn declared_performance(endpoint: &Endpoint, distances: &Distances) -> DeclaredPerformance {
+    let inter_domain_us = micros(distances.to(&endpoint.domain));
     match &endpoint.role {
-        Role::Engine(engine) => DeclaredSpeed {
+        Role::Engine(engine) => DeclaredPerformance {
             layer_us: engine.layer_us as f32,
-            one_way_us: engine.link_us as f32 + crossing_us,
+            one_way_us: engine.link_us as f32 + inter_domain_us,
             bytes_per_second: engine.link_bytes_per_second as f32,
         },
-        Role::Service(_) => {
-            DeclaredSpeed { layer_us: 1.0, one_way_us: crossing_us, bytes_per_second: 1e9 }
-        }
+        // A service declares no speed; these values stand in for it.
+        Role::Service(_) => DeclaredPerformance {
+            layer_us: 1.0,
+            one_way_us: inter_domain_us,
+            bytes_per_second: 1e9,
+        },
     }
 }
 
--- a/mimosashift/src/health/report.rs
+++ b/mimosashift/src/health/report.rs
@@ -11,16 +11,17 @@
 use crate::time::Instant;
 
 quick_error! {
-    /// Why a report from another router was not used.
+    /// Why a report from another router was rejected.
     #[derive(Clone, Debug, PartialEq, Eq)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
-        /// Its time is so far ahead that it would supersede all valid reports.
-        Future { endpoint: Name, lead: Duration } {
+        /// Its `polled_at` is ahead of this router's clock by more than
+        /// `max_clock_skew`, so it would supersede all valid reports.
+        TooFarInFuture { endpoint: Name, lead: Duration } {
             display("report on endpoint {:?} is {} ms in the future", endpoint.as_str(), lead.as_millis())
         }
         /// It is about an endpoint that is not configured.
-        Unknown { endpoint: Name } {
+        UnknownEndpoint { endpoint: Name } {
             display("report names endpoint {:?}, which is not configured", endpoint.as_str())
         }
     }
@@ -32,7 +33,7 @@
 /// higher `sequence`, replaces the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The endpoint.
+    /// The endpoint that was polled.
     pub endpoint: Name,
     /// When the poll was answered, on the polling router's clock.
     pub polled_at: Instant,
--- a/mimosashift/src/health/state.rs
+++ b/mimosashift/src/health/state.rs
@@ -3,15 +3,15 @@
 use smallvec::SmallVec;
 
 use super::ejection::Ejection;
-use super::factor::SlownessFactor;
 use super::leaving::LeavingState;
+use super::slowness::SlownessFactor;
 use super::{Availability, Condition, Report, Settings, time_model};
 use crate::engine::Load;
 use crate::time::Instant;
 
-/// An endpoint's speed as given in the configuration.
+/// An endpoint's processing and link times as given in the configuration.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct DeclaredSpeed {
+pub(super) struct DeclaredPerformance {
     pub(super) layer_us: f32,
     pub(super) one_way_us: f32,
     pub(super) bytes_per_second: f32,
@@ -19,34 +19,37 @@
 
 /// State of one endpoint, from all sources.
 #[derive(Debug)]
-pub(super) struct State {
-    pub(super) group: u32,
-    pub(super) declared: DeclaredSpeed,
+pub(super) struct EndpointHealth {
+    /// Index of the group in which slow outliers are determined.
+    pub(super) outlier_group: u32,
+    pub(super) declared: DeclaredPerformance,
     pub(super) leaving_state: LeavingState,
-    /// Generation of the VM list when an unknown incarnation refused work as
-    /// leaving.
+    /// Set if the endpoint was found to be leaving before its incarnation was known:
+    /// the VM list generation at that time.
     refused_at_generation: Option<u64>,
-    /// When the current incarnation was first seen.
+    /// Time of the poll from which this router learned of the current incarnation;
+    /// zero for the first incarnation known.
     pub(super) incarnation_seen_at: Instant,
     pub(super) polled_at: Instant,
     pub(super) sequence: u64,
     pub(super) load: Load,
     pub(super) ejection: Ejection,
-    pub(super) samples: u32,
+    pub(super) observed_exchanges: u32,
     pub(super) consecutive_failures: u8,
     pub(super) paused_until: Instant,
-    pub(super) service: SlownessFactor,
-    pub(super) link: SlownessFactor,
+    pub(super) service_slowness: SlownessFactor,
+    pub(super) link_slowness: SlownessFactor,
     /// Start times of this router's own work in flight.
     in_flight: SmallVec<[Instant; 2]>,
-    /// Own work that is included in the report and has finished since.
+    /// Number of this router's requests that started before the latest report and
+    /// have finished since.
     finished_since_report: u32,
 }
 
-impl State {
-    pub(super) fn new(group: u32, declared: DeclaredSpeed) -> Self {
+impl EndpointHealth {
+    pub(super) fn new(group: u32, declared: DeclaredPerformance) -> Self {
         Self {
-            group,
+            outlier_group: group,
             declared,
             leaving_state: LeavingState::default(),
             refused_at_generation: None,
@@ -55,11 +58,11 @@
             sequence: 0,
             load: Load::default(),
             ejection: Ejection::default(),
-            samples: 0,
+            observed_exchanges: 0,
             consecutive_failures: 0,
             paused_until: Instant::ZERO,
-            service: SlownessFactor::default(),
-            link: SlownessFactor::default(),
+            service_slowness: SlownessFactor::default(),
+            link_slowness: SlownessFactor::default(),
             in_flight: SmallVec::new(),
             finished_since_report: 0,
         }
@@ -77,12 +80,13 @@
         }
     }
 
-    /// Records that the endpoint refused work because it is leaving.
+    /// Records that the endpoint refused work as leaving or reported that it is
+    /// leaving.
     ///
-    /// If its incarnation is unknown, the refusal applies to the next one
-    /// learned, unless a newer VM list withdraws it first.
-    pub(super) fn record_refusal(&mut self) {
-        if !self.leaving_state.record_refusal() {
+    /// If its incarnation is unknown, this applies to the next one learned, unless
+    /// a newer VM list withdraws it first.
+    pub(super) fn record_leaving(&mut self) {
+        if !self.leaving_state.record_leaving() {
             self.refused_at_generation = Some(self.leaving_state.generation());
         }
     }
@@ -94,17 +98,18 @@
             self.refused_at_generation.filter(|&refused_at| generation <= refused_at);
     }
 
-    /// Merges the leaving state known to another source; a new incarnation ends
-    /// the ejection and starts the ramp to full weight.
+    /// Merges the leaving state known to another source; if that
+    /// replaces a known incarnation by a newer one, resets the failure count and
+    /// ends a current ejection, so that the ramp to full weight starts.
     pub(super) fn merge_leaving(&mut self, leaving_state: &LeavingState, seen_at: Instant) {
         let before = self.leaving_state.incarnation();
         self.leaving_state.merge(leaving_state);
         if before > 0 && self.leaving_state.incarnation() > before {
             self.incarnation_seen_at = seen_at;
             self.consecutive_failures = 0;
-            self.ejection.lift(seen_at);
+            self.ejection.end_early(seen_at);
         }
-        if self.refused_at_generation.is_some() && self.leaving_state.record_refusal() {
+        if self.refused_at_generation.is_some() && self.leaving_state.record_leaving() {
             self.refused_at_generation = None;
         }
     }
@@ -143,24 +148,24 @@
         self.leaving_state.is_leaving() || self.refused_at_generation.is_some()
     }
 
-    /// How many times slower than declared: the worse of service and link.
+    /// The larger of the service and link slowness factors.
     pub(super) fn slowness(&self, now: Instant) -> f32 {
-        self.service.value(now).max(self.link.value(now))
+        self.service_slowness.value(now).max(self.link_slowness.value(now))
     }
 
     pub(super) fn observe_service(&mut self, us: f32, layers: u16, tokens: u32, now: Instant) {
         let step = time_model::step_weight(tokens as f32);
         let batch = time_model::batch_weight(self.load.running);
         let expected = self.declared.layer_us * f32::from(layers) * step * batch;
-        self.service.observe(us / expected.max(1.0), now);
+        self.service_slowness.observe(us / expected.max(1.0), now);
     }
 
     pub(super) fn observe_link(&mut self, us: f32, bytes: u64, now: Instant) {
-        self.link.observe(us / self.expected_link_us(bytes), now);
+        self.link_slowness.observe(us / self.expected_link_us(bytes), now);
     }
 
     pub(super) fn expected_link_us(&self, bytes: u64) -> f32 {
-        let DeclaredSpeed { one_way_us, bytes_per_second, .. } = self.declared;
+        let DeclaredPerformance { one_way_us, bytes_per_second, .. } = self.declared;
         time_model::link_us(one_way_us, bytes as f32, bytes_per_second)
     }
 
@@ -173,8 +178,8 @@
         Condition {
             availability: self.availability(now),
             sequences: self.sequences(router_count),
-            service_factor: self.service.value(now),
-            link_factor: self.link.value(now),
+            service_factor: self.service_slowness.value(now),
+            link_factor: self.link_slowness.value(now),
             weight: self.ejection.weight(settings, now),
             overloaded: now < self.paused_until,
         }
--- a/mimosashift/tests/admit.rs
+++ b/mimosashift/tests/admit.rs
@@ -33,6 +33,7 @@
 }
 
 /// The same queueing rules without indexes: every operation is a linear search.
+/// One token at weight 1 takes `1 << 16` of virtual time, as in [`Queue`].
 #[derive(Default)]
 struct ReferenceQueue {
     items: Vec<Item>,
@@ -42,8 +43,8 @@
 
 impl ReferenceQueue {
     fn start(&self, item: &Item) -> u64 {
-        let Some((now, starts)) = self.levels.get(&item.level) else { return 0 };
-        starts.get(&item.team).map_or(*now, |start| *start)
+        let Some((virtual_time, starts)) = self.levels.get(&item.level) else { return 0 };
+        starts.get(&item.team).map_or(*virtual_time, |start| *start)
     }
 
     fn finish(&self, item: &Item) -> u64 {
@@ -53,11 +54,11 @@
     }
 
     fn push(&mut self, item: Item) {
-        let (now, starts) = self.levels.entry(item.level).or_default();
+        let (virtual_time, starts) = self.levels.entry(item.level).or_default();
         let queued = self.items.iter().any(|o| o.level == item.level && o.team == item.team);
-        let start = starts.entry(item.team.clone()).or_insert(*now);
+        let start = starts.entry(item.team.clone()).or_insert(*virtual_time);
         if !queued {
-            *start = (*start).max(*now);
+            *start = (*start).max(*virtual_time);
         }
         self.items.push(item);
     }
@@ -66,8 +67,8 @@
         let key = |i: &&Item| (i.level, self.start(i), i.team.clone(), i.ticket);
         let item = self.items.iter().min_by_key(key)?.clone();
         let start = self.start(&item);
-        let (now, starts) = self.levels.get_mut(&item.level)?;
-        *now = (*now).max(start);
+        let (virtual_time, starts) = self.levels.get_mut(&item.level)?;
+        *virtual_time = (*virtual_time).max(start);
         starts.insert(
             item.team.clone(),
             start + (u64::from(item.cost) << 16) / u64::from(item.weight),
@@ -103,7 +104,7 @@
 }
 
 /// Defines a test per seed: queue and reference must agree on a random history.
-macro_rules! agrees {
+macro_rules! queue_agreement_tests {
     ($($case:ident: $seed:literal;)*) => {$(
         #[test]
         fn $case() {
@@ -112,7 +113,7 @@
     )*};
 }
 
-agrees! {
+queue_agreement_tests! {
     queue_agrees_with_reference_1: 1;
     queue_agrees_with_reference_2: 2;
     queue_agrees_with_reference_3: 3;
@@ -199,7 +200,7 @@
 }
 
 impl Outcomes {
-    fn take(&mut self, actions: &mut Vec<Action>) {
+    fn record(&mut self, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
             match action {
                 Action::Dispatch(ticket) => {
@@ -218,7 +219,7 @@
 
 /// Defines a test per seed: in a random history every request has exactly one
 /// outcome.
-macro_rules! one_outcome {
+macro_rules! one_outcome_tests {
     ($($case:ident: $seed:literal;)*) => {$(
         #[test]
         fn $case() {
@@ -227,7 +228,7 @@
     )*};
 }
 
-one_outcome! {
+one_outcome_tests! {
     one_outcome_1: 11;
     one_outcome_2: 12;
     one_outcome_3: 13;
@@ -271,7 +272,7 @@
                 }
             }
         }
-        observed.take(&mut out);
+        observed.record(&mut out);
         assert!(admission.queue().len() <= BOUNDS.queued);
         assert!(admission.queue().bytes() <= BOUNDS.queued_bytes);
         assert_eq!(admission.slots().used(), observed.running.len());
@@ -303,7 +304,7 @@
 }
 
 #[test]
-fn lowest_priority_of_the_most_backlogged_team_is_shed_first() {
+fn newest_request_of_the_most_backlogged_team_at_the_lowest_level_is_shed_first() {
     let bounds = Bounds { queued: 3, queued_bytes: 10_000, start_slots: 1, max_slots: 1 };
     let (mut admission, mut out) = (Admission::new(bounds), Vec::new());
     let (a, b, team) = (name("a"), name("b"), team(1, 0, 0));
@@ -437,9 +438,9 @@
     other_teams: Vec<Name>,
 }
 
-const COST: u32 = 50;
-const STEP: Duration = Duration::from_micros(500);
-const LATENCY: Duration = Duration::from_millis(60);
+const REQUEST_COST_TOKENS: u32 = 50;
+const SIMULATION_STEP: Duration = Duration::from_micros(500);
+const REPORT_LATENCY: Duration = Duration::from_millis(60);
 
 impl Cluster {
     fn new(seed: u64, routers: usize, limit: u32) -> Self {
@@ -452,7 +453,7 @@
             names: (0..routers).map(|i| name(&format!("r{i}"))).collect(),
             in_flight: Vec::new(),
             partitions: 1,
-            team: team(1, 0, limit * COST),
+            team: team(1, 0, limit * REQUEST_COST_TOKENS),
             limit,
             team_name: name("counter"),
             other_teams: Vec::new(),
@@ -463,45 +464,45 @@
     /// rate relative to the limit.
     fn run(&mut self, time: Duration, weights: &[f64]) -> f64 {
         let (end, total) = (self.now + time, weights.iter().sum::<f64>());
-        let chance = 2.0 * f64::from(self.limit) * STEP.as_secs_f64();
+        let chance = 2.0 * f64::from(self.limit) * SIMULATION_STEP.as_secs_f64();
         let mut admitted = 0;
         while self.now < end {
-            self.now = self.now + STEP;
+            self.now = self.now + SIMULATION_STEP;
             self.exchange();
-            if self.rng.random_bool(self.other_teams.len() as f64 * STEP.as_secs_f64()) {
+            if self.rng.random_bool(self.other_teams.len() as f64 * SIMULATION_STEP.as_secs_f64()) {
                 let team_name =
                     self.other_teams[self.rng.random_range(0..self.other_teams.len())].clone();
-                let at = self.rng.random_range(0..self.routers.len());
-                self.submit(at, &team_name);
+                let router = self.rng.random_range(0..self.routers.len());
+                self.submit(router, &team_name);
             }
             if self.rng.random_bool(chance) {
                 let mut draw = self.rng.random_range(0.0..total);
-                let at = weights.iter().position(|weight| {
+                let router = weights.iter().position(|weight| {
                     draw -= weight;
                     draw < 0.0
                 });
-                admitted += u32::from(self.submit(at.unwrap_or(0), &self.team_name.clone()));
+                admitted += u32::from(self.submit(router.unwrap_or(0), &self.team_name.clone()));
             }
         }
         f64::from(admitted) / (f64::from(self.limit) * time.as_secs_f64())
     }
 
-    fn submit(&mut self, at: usize, team_name: &Name) -> bool {
+    fn submit(&mut self, router: usize, team_name: &Name) -> bool {
         let mut out = Vec::new();
         let request = Request {
             name: team_name,
             team: &self.team,
             level: 0,
-            cost: COST,
+            cost: REQUEST_COST_TOKENS,
             bytes: 1,
             deadline: self.now + Duration::from_secs(9),
             service: Duration::ZERO,
         };
-        let ticket = self.routers[at].submit(self.now, &request, &mut out);
+        let ticket = self.routers[router].submit(self.now, &request, &mut out);
         let admitted = out.contains(&Action::Dispatch(ticket));
         if admitted {
-            let usage = Usage { tokens: COST, overloaded: false };
-            self.routers[at].release(self.now, ticket, usage, &mut out);
+            let usage = Usage { tokens: REQUEST_COST_TOKENS, overloaded: false };
+            self.routers[router].release(self.now, ticket, usage, &mut out);
         }
         admitted
     }
@@ -509,13 +510,14 @@
     fn exchange(&mut self) {
         let micros = self.now.as_micros();
         let interval = REPORT_INTERVAL.as_micros() as u64;
-        for at in 0..self.routers.len() {
-            // Each router reports at its own phase of the interval.
-            let phase = at as u64 * 7_500 % interval;
+        for router in 0..self.routers.len() {
+            // Each router reports at its own phase of the interval, 7.5 ms after the
+            // previous router; phases are compared in steps of 500 us.
+            let phase = router as u64 * 7_500 % interval;
             if micros / 500 % (interval / 500) == phase / 500 {
                 let peers = self.routers.len() - 1;
-                let report = self.routers[at].report(self.now, peers);
-                self.in_flight.push((self.now + LATENCY, at, report));
+                let report = self.routers[router].report(self.now, peers);
+                self.in_flight.push((self.now + REPORT_LATENCY, router, report));
             }
         }
         let now = self.now;
@@ -534,7 +536,7 @@
 const SETTLING_TIME: Duration = Duration::from_secs(2);
 const MEASURING_TIME: Duration = Duration::from_secs(5);
 
-fn within_5_percent(admitted: f64, what: &str) {
+fn assert_within_5_percent_of_limit(admitted: f64, what: &str) {
     eprintln!("{what}: {:+.2}% of the limit", (admitted - 1.0) * 100.0);
     assert!((admitted - 1.0).abs() <= 0.05, "{what}: {admitted}");
 }
@@ -542,7 +544,7 @@
 /// Defines a test per number of routers, limit in requests per second, number
 /// of other teams and seed: the limit must hold over all routers. `in_a_crowd`
 /// in a name means 1,000 other teams.
-macro_rules! limits {
+macro_rules! limit_tests {
     ($($case:ident: $routers:literal $limit:literal $other_teams:literal $seed:literal;)*) => {$(
         #[test]
         fn $case() {
@@ -551,7 +553,7 @@
     )*};
 }
 
-limits! {
+limit_tests! {
     limit_holds_over_4_routers: 4 400 0 21;
     limit_holds_over_4_routers_with_another_seed: 4 400 0 22;
     limit_holds_over_4_routers_with_1000_other_teams: 4 400 1_000 25;
@@ -586,7 +588,7 @@
             "{what}, {limit} requests/s, {routers} routers, {other_teams} others, windows: {windows:.3?}"
         );
         let steady = windows.iter().sum::<f64>() / windows.len() as f64;
-        within_5_percent(
+        assert_within_5_percent_of_limit(
             steady,
             &format!(
                 "{what}, {limit} requests/s, {routers} routers, {other_teams} others, settled"
@@ -596,7 +598,7 @@
 }
 
 #[test]
-fn each_part_of_a_partition_serves_at_most_the_limit() {
+fn three_partitions_together_admit_between_1_5_and_3_15_times_the_limit() {
     let mut cluster = Cluster::new(31, 12, 400);
     let even = [1.0; 12];
     cluster.run(SETTLING_TIME, &even);
@@ -608,7 +610,10 @@
     assert!(partitioned > 1.5 && partitioned <= 3.0 * 1.05, "{partitioned}");
     cluster.partitions = 1;
     cluster.run(SETTLING_TIME, &even);
-    within_5_percent(cluster.run(MEASURING_TIME, &even), "healed");
+    assert_within_5_percent_of_limit(
+        cluster.run(MEASURING_TIME, &even),
+        "after the partition ended",
+    );
 }
 
 #[test]
@@ -639,12 +644,12 @@
         now = now + REPORT_INTERVAL;
         share.export(now, 128);
     }
-    assert_eq!(share.active(), 0);
+    assert_eq!(share.tracked_teams(), 0);
 }
 
 /// Defines a test per number of peers: reports to them must leave bandwidth for
 /// heartbeats and configuration.
-macro_rules! fits_bandwidth {
+macro_rules! bandwidth_tests {
     ($($case:ident: $peers:literal;)*) => {$(
         #[test]
         fn $case() {
@@ -653,7 +658,7 @@
     )*};
 }
 
-fits_bandwidth! {
+bandwidth_tests! {
     report_fits_bandwidth_with_3_peers: 3;
     report_fits_bandwidth_with_39_peers: 39;
     report_fits_bandwidth_with_369_peers: 369;
@@ -676,5 +681,6 @@
         bytes += postcard::to_stdvec(&report).unwrap().len() * peers;
     }
     eprintln!("1,000 active teams, {peers} peers: {} bytes per second", bytes / seconds);
+    // A quarter of the budget is left for heartbeats and configuration.
     assert!(bytes / seconds < BUDGET_BYTES_PER_SECOND * 3 / 4, "{bytes}");
 }
--- a/mimosashift/tests/health.rs
+++ b/mimosashift/tests/health.rs
@@ -119,7 +119,7 @@
 #[test_case(&Failure::NoCache, false; "no cache")]
 #[test_case(&Failure::Refused("adapter".to_owned()), false; "refused")]
 #[test_case(&Failure::Overloaded, false; "overloaded")]
-fn third_failure_in_a_row_ejects(failure: &Failure, ejects: bool) {
+fn only_failures_without_a_valid_answer_eject(failure: &Failure, ejects: bool) {
     let (mut registry, e, mut rng) = (registry(1), name("e0"), rng());
     for _ in 0..2 {
         registry.record_failure(&e, failure, at(1), at(1), &mut rng);
@@ -157,14 +157,14 @@
     }
     assert!(ejection_times.windows(2).all(|pair| pair[1] > pair[0]), "{ejection_times:?}");
     assert!(ejection_times[3] >= ejection_times[0] * 4, "{ejection_times:?}");
-    let weight = |later| registry.condition(&e, now + Duration::from_secs(later)).weight;
+    let weight = |seconds| registry.condition(&e, now + Duration::from_secs(seconds)).weight;
     assert!(weight(0) < 0.15, "{}", weight(0));
     assert!(weight(0) < weight(10) && weight(10) < weight(20));
     assert_eq!(weight(30), 1.0);
 }
 
 #[test]
-fn slow_outliers_are_ejected_up_to_the_cap() {
+fn slow_outliers_are_ejected_up_to_max_ejected_share() {
     let (mut registry, mut rng) = (registry(20), rng());
     for (index, e) in endpoints(20).iter().enumerate() {
         for _ in 0..10 {
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn beyond_the_cap_only_unreachable_endpoints_are_ejected() {
+fn beyond_max_ejected_share_only_unreachable_endpoints_are_ejected() {
     let (mut registry, mut rng) = (registry(10), rng());
     for e in &endpoints(10)[..5] {
         for _ in 0..3 {
@@ -200,20 +200,20 @@
 /// How a registry learns that `e0`, polled at incarnation 1, is leaving.
 #[derive(Clone, Copy, Debug)]
 enum Source {
-    List,
-    Own,
+    VmList,
+    OwnPoll,
     Refusal,
-    Peer,
+    PeerReport,
 }
 
-fn leave(registry: &mut Registry, source: Source) {
+fn report_leaving(registry: &mut Registry, source: Source) {
     let e = name("e0");
     let leaving = Load { leaving: true, ..Load::default() };
     match source {
-        Source::List => registry.apply_vm_list(5, |_| true),
-        Source::Own => registry.record_poll(&e, 1, &leaving, 2, at(2)),
+        Source::VmList => registry.apply_vm_list(5, |_| true),
+        Source::OwnPoll => registry.record_poll(&e, 1, &leaving, 2, at(2)),
         Source::Refusal => registry.record_failure(&e, &Failure::Leaving, at(2), at(2), &mut rng()),
-        Source::Peer => {
+        Source::PeerReport => {
             let mut peer = self::registry(1);
             peer.record_poll(&e, 1, &leaving, 2, at(2));
             assert!(registry.merge(&peer.reports_since(at(0)), at(2)).is_empty());
@@ -221,14 +221,14 @@
     }
 }
 
-#[test_case(Source::List)]
-#[test_case(Source::Own)]
+#[test_case(Source::VmList)]
+#[test_case(Source::OwnPoll)]
 #[test_case(Source::Refusal)]
-#[test_case(Source::Peer)]
+#[test_case(Source::PeerReport)]
 fn leaving_persists_until_a_newer_incarnation(source: Source) {
     let (mut registry, e) = (registry(1), name("e0"));
     registry.record_poll(&e, 1, &running(0), 1, at(1));
-    leave(&mut registry, source);
+    report_leaving(&mut registry, source);
     assert_eq!(registry.condition(&e, at(2)).availability, Availability::Leaving);
     registry.record_poll(&e, 1, &running(0), 3, at(3));
     registry.apply_vm_list(4, |_| false);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn newer_vm_list_withdraws_its_leaving_state() {
+fn newer_vm_list_withdraws_the_leaving_state_of_an_older_one() {
     let (mut registry, e) = (registry(1), name("e0"));
     registry.apply_vm_list(5, |_| true);
     registry.apply_vm_list(6, |_| false);
@@ -328,11 +328,14 @@
             |(index, second, sequence, incarnation, leaving): (usize, u64, u64, u64, bool)| {
                 let mut source = registry(3);
                 let e = &endpoints(3)[index];
-                // A poll has a single answer, so the load is derived from its number.
+                // Two reports of the same poll must carry the same load, so it is
+                // computed from the poll's time and sequence number.
                 let running = (second * 10 + sequence) as u32;
                 let load = Load { running, leaving, ..Load::default() };
                 source.record_poll(e, incarnation, &load, sequence + 1, at(second + 1));
                 let mut shared = source.reports_since(at(0));
+                // For the same reason the load must not contain the random `leaving`;
+                // `leaving_state` still does.
                 shared.reports[0].load.leaving = false;
                 shared.reports.remove(0)
             };
