--- a/mimosashift/src/pipeline/action.rs
+++ b/mimosashift/src/pipeline/action.rs
@@ -13,7 +13,7 @@
 /// Actions after one input, in the order in which they must be carried out.
 pub type Actions = SmallVec<[Action; 4]>;
 
-/// Parameters that every input of a machine needs besides its own data.
+/// Parameters common to the input methods of a machine.
 #[derive(Debug)]
 pub struct Context<'a> {
     /// The current time.
@@ -67,8 +67,9 @@
         /// How long the exchange may take.
         timeout: Duration,
     },
-    /// Stop and release this and earlier attempts at an endpoint. The result is
-    /// not reported back, and the exchange must not delay other actions.
+    /// Cancel all attempts up to `attempt` at an endpoint and free their KV cache.
+    /// The result is not reported back, and the exchange must not delay other
+    /// actions.
     CancelEngine {
         /// The endpoint.
         endpoint: Name,
@@ -79,7 +80,7 @@
     },
     /// Pass the next token to the caller of the request.
     Emit(u32),
-    /// Choose endpoints for lost layers; report the result through `on_chain`.
+    /// Choose a replacement chain; report the result through `on_chain`.
     NeedChain {
         /// Endpoints that the new chain must not use.
         avoid: SmallVec<[Name; 4]>,
@@ -101,7 +102,8 @@
 pub enum Scope {
     /// Every stage; none holds any state yet.
     Whole,
-    /// The stage of these layers; keeping the other stages is cheapest.
+    /// The stage of these layers. A chain that keeps the other stages is cheapest
+    /// to continue on, but they may change.
     Range(Layers),
 }
 
--- a/mimosashift/src/pipeline/hedge.rs
+++ b/mimosashift/src/pipeline/hedge.rs
@@ -16,7 +16,7 @@
 use crate::time::Instant;
 
 /// First attempt number of the second chain, above every attempt of the first.
-const HEDGE_ATTEMPT: u32 = 1 << 16;
+const FIRST_HEDGE_ATTEMPT: u32 = 1 << 16;
 
 /// A request that may run its prompt on two chains at once.
 ///
@@ -32,12 +32,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// A second chain is requested at this time.
-    Waiting(Instant),
+    /// A second chain will be requested at this time.
+    Scheduled(Instant),
     /// A second chain was requested.
     Requested,
-    /// No further chain will be requested.
-    Closed,
+    /// No second chain will be requested any more.
+    Disabled,
 }
 
 impl HedgedRequest {
@@ -53,7 +53,7 @@
         delay: Option<Duration>,
     ) -> (Self, Actions) {
         let (machine, actions) = Machine::start(ctx, request, chain, cost, limits);
-        let state = delay.map_or(State::Closed, |delay| State::Waiting(ctx.now + delay));
+        let state = delay.map_or(State::Disabled, |delay| State::Scheduled(ctx.now + delay));
         let mut machines = SmallVec::new();
         machines.push(machine);
         (Self { machines, state }, actions)
@@ -63,7 +63,7 @@
     pub fn on_reply(&mut self, ctx: &mut Context<'_>, endpoint: &Name, reply: Reply) -> Actions {
         let index = self.index_of(&reply.label);
         let actions = self.machines[index].on_reply(ctx, endpoint, reply);
-        self.merge(index, actions)
+        self.process_actions(index, actions)
     }
 
     /// See [`Machine::on_failure`].
@@ -77,14 +77,14 @@
     ) -> Actions {
         let index = self.index_of(label);
         let actions = self.machines[index].on_failure(ctx, endpoint, label, failure, retry_after);
-        self.merge(index, actions)
+        self.process_actions(index, actions)
     }
 
     /// See [`Machine::on_chain`].
     pub fn on_chain(&mut self, ctx: &mut Context<'_>, replacement: Option<Replacement>) -> Actions {
         let index = self.current();
         let actions = self.machines[index].on_chain(ctx, replacement);
-        self.merge(index, actions)
+        self.process_actions(index, actions)
     }
 
     /// See [`Machine::on_import`].
@@ -97,10 +97,11 @@
     ) -> Actions {
         let index = self.index_of(label);
         let actions = self.machines[index].on_import(ctx, to, label, result);
-        self.merge(index, actions)
+        self.process_actions(index, actions)
     }
 
-    /// Handles the result of [`Action::NeedHedge`]; `None` if no chain was found.
+    /// Handles the result of [`Action::NeedHedge`]; `replacement` is `None` if no
+    /// chain was found.
     ///
     /// A chain that shares an endpoint with the first one is not used, because
     /// an engine only keeps the state of the latest attempt.
@@ -108,25 +109,25 @@
         if self.state != State::Requested {
             return Actions::new();
         }
-        self.state = State::Closed;
+        self.state = State::Disabled;
         let first = &self.machines[0];
         let second =
-            replacement.and_then(|replacement| first.hedge(ctx, replacement, HEDGE_ATTEMPT));
+            replacement.and_then(|replacement| first.hedge(ctx, replacement, FIRST_HEDGE_ATTEMPT));
         let Some((machine, actions)) = second else { return Actions::new() };
         self.machines.push(machine);
-        self.merge(1, actions)
+        self.process_actions(1, actions)
     }
 
-    /// See [`Machine::on_timer`]; a second chain is charged to the budget `hedges`,
-    /// which is separate from the retry budget.
-    pub fn on_timer(&mut self, ctx: &mut Context<'_>, hedges: &mut Budget) -> Actions {
+    /// See [`Machine::on_timer`]; each second chain takes one unit of
+    /// `hedge_budget`, which is separate from the retry budget.
+    pub fn on_timer(&mut self, ctx: &mut Context<'_>, hedge_budget: &mut Budget) -> Actions {
         let mut actions = Actions::new();
         for index in 0..self.machines.len() {
             let more = self.machines[index].on_timer(ctx);
-            actions.extend(self.merge(index, more));
+            actions.extend(self.process_actions(index, more));
         }
-        if matches!(self.state, State::Waiting(at) if ctx.now >= at) {
-            self.request_chain(ctx.now, hedges, &mut actions);
+        if matches!(self.state, State::Scheduled(at) if ctx.now >= at) {
+            self.request_chain(ctx.now, hedge_budget, &mut actions);
         }
         actions
     }
@@ -136,7 +137,7 @@
         let mut actions = Actions::new();
         for index in 0..self.machines.len() {
             let more = self.machines[index].cancel();
-            actions.extend(self.merge(index, more));
+            actions.extend(self.process_actions(index, more));
         }
         actions
     }
@@ -145,8 +146,8 @@
     pub fn next_deadline(&self) -> Option<Instant> {
         let next = self.machines.iter().filter_map(Machine::next_deadline).min()?;
         match self.state {
-            State::Waiting(at) => Some(next.min(at)),
-            State::Requested | State::Closed => Some(next),
+            State::Scheduled(at) => Some(next.min(at)),
+            State::Requested | State::Disabled => Some(next),
         }
     }
 
@@ -195,39 +196,42 @@
         self.machines.iter().position(|machine| !machine.is_done()).unwrap_or_default()
     }
 
-    /// Index of the machine that a reply belongs to.
+    /// Index of the machine that checks a reply: the one whose attempt it carries if
+    /// both are running, else the one that is still running.
     fn index_of(&self, label: &Label) -> usize {
-        let is_race = self.machines.iter().all(|machine| !machine.is_done());
-        if !is_race {
+        let both_running = self.machines.iter().all(|machine| !machine.is_done());
+        if !both_running {
             return self.current();
         }
-        usize::from(self.hedged() && label.attempt >= HEDGE_ATTEMPT)
+        usize::from(self.hedged() && label.attempt >= FIRST_HEDGE_ATTEMPT)
     }
 
-    fn request_chain(&mut self, now: Instant, hedges: &mut Budget, actions: &mut Actions) {
-        self.state = State::Closed;
+    fn request_chain(&mut self, now: Instant, hedge_budget: &mut Budget, actions: &mut Actions) {
+        self.state = State::Disabled;
         let avoid = self.machines[0].hedge_exclusions(now);
         let Some(avoid) = avoid else { return };
-        if hedges.take(now).is_ok() {
+        if hedge_budget.take(now).is_ok() {
             self.state = State::Requested;
             actions.push(Action::NeedHedge { avoid });
         }
     }
 
-    /// Forwards the actions of one machine, adjusted to the state of the other.
-    fn merge(&mut self, index: usize, actions: Actions) -> Actions {
+    /// Filters the actions of one machine: resolves the hedge if both are running,
+    /// and sets the combined effect of a failure. The first token ends hedging.
+    fn process_actions(&mut self, index: usize, actions: Actions) -> Actions {
         if actions.iter().any(|action| matches!(action, Action::Emit(_))) {
-            self.state = State::Closed;
+            self.state = State::Disabled;
         }
         let other = 1 - index;
-        let is_race = self.machines.get(other).is_some_and(|machine| !machine.is_done());
-        let actions = if is_race { self.race(index, actions) } else { actions };
+        let both_running = self.machines.get(other).is_some_and(|machine| !machine.is_done());
+        let actions = if both_running { self.resolve_hedge(index, actions) } else { actions };
         let effect = self.machines.iter().map(Machine::effect).max();
         actions.into_iter().map(|action| with_effect(action, effect)).collect()
     }
 
-    /// Decides between two running machines after one of them has acted.
-    fn race(&mut self, index: usize, mut actions: Actions) -> Actions {
+    /// Cancels the slower or failed one of two running machines, if the actions of
+    /// machine `index` decide between them.
+    fn resolve_hedge(&mut self, index: usize, mut actions: Actions) -> Actions {
         let wins =
             |action: &Action| matches!(action, Action::Emit(_) | Action::Finish(Outcome::Complete));
         if actions.iter().any(wins) {
@@ -257,7 +261,8 @@
     }
 }
 
-/// Sets the effect of a failure to the one that covers both chains.
+/// Replaces the effect of a failure by `combined`, the greatest effect of both
+/// chains.
 fn with_effect(action: Action, combined: Option<Effect>) -> Action {
     let outcome = match (action, combined) {
         (Action::Finish(Outcome::Failed { code, retry_after, .. }), Some(effect)) => {
--- a/mimosashift/src/pipeline/machine/hedge.rs
+++ b/mimosashift/src/pipeline/machine/hedge.rs
@@ -1,4 +1,4 @@
-//! Hedging: a second machine that races the first one of the same request.
+//! Hedging: a second machine that runs the same request concurrently.
 
 use smallvec::SmallVec;
 
@@ -9,7 +9,7 @@
 
 impl Machine {
     /// Endpoints that a second chain must not use, or `None` when no second chain
-    /// is needed: the first token has arrived or a recovery has started.
+    /// is needed: the first token has arrived or a recovery is in progress.
     pub(in crate::pipeline) fn hedge_exclusions(
         &self,
         now: Instant,
@@ -18,7 +18,7 @@
         if !running || self.step.position > 0 || !self.emitted().is_empty() {
             return None;
         }
-        let avoided = self.avoid.iter().filter(|(_, until)| *until > now);
+        let avoided = self.excluded.iter().filter(|(_, until)| *until > now);
         let avoided = avoided.map(|(name, _)| name);
         let used = self.used.iter().map(|used| &used.endpoint);
         let stages = self.chain.stages().iter().map(|stage| &stage.endpoint);
--- a/mimosashift/src/pipeline/machine/mod.rs
+++ b/mimosashift/src/pipeline/machine/mod.rs
@@ -19,8 +19,9 @@
 mod recover;
 mod step;
 
-/// How long a failed endpoint is excluded.
-const AVOID_PERIOD: Duration = Duration::from_secs(1);
+/// Minimum time for which a failed endpoint is excluded; also the `retry_after` of
+/// a request for which no chain was found.
+const MIN_EXCLUSION_TIME: Duration = Duration::from_secs(1);
 /// How long a chain is searched for before the request fails.
 const CHAIN_SEARCH_TIMEOUT: Duration = Duration::from_secs(4);
 /// Minimum pause between two searches for a chain.
@@ -31,7 +32,8 @@
 pub struct Replacement {
     /// The chain.
     pub chain: Chain,
-    /// Endpoints of the old chain whose KV cache is probably still readable.
+    /// Endpoints of the old chain that are not known to be unreachable, so that
+    /// their KV cache may be copied.
     pub holders: SmallVec<[Name; 4]>,
     /// Cost of recovery on the new chain.
     pub cost: Cost,
@@ -56,14 +58,19 @@
     phase: Phase,
     reply_filter: ReplyFilter,
     step_times: StepTimes,
-    avoid: SmallVec<[(Name, Instant); 4]>,
+    /// Excluded endpoints, and when each exclusion ends.
+    excluded: SmallVec<[(Name, Instant); 4]>,
     /// Endpoints whose KV cache is lost or unreliable.
     cache_lost: SmallVec<[Name; 4]>,
     used: SmallVec<[UsedEndpoint; 8]>,
-    token_started: Instant,
+    /// When the first step of the current token was sent; at first the start of
+    /// the request.
+    token_sent_at: Instant,
     /// Recoveries since the last accepted token.
     recoveries_since_token: u32,
-    overloads: u32,
+    /// Retries at an overloaded endpoint since the last accepted reply or change
+    /// of chain.
+    overload_retries: u32,
     total_recoveries: u32,
     execution: Execution,
 }
@@ -81,24 +88,25 @@
 #[derive(Debug)]
 struct UsedEndpoint {
     endpoint: Name,
-    /// The latest attempt sent to it.
+    /// The latest attempt sent to it. For an endpoint of a cancelled chain of the
+    /// same request, the attempt of this machine.
     attempt: u32,
     released: bool,
 }
 
-/// Phase of the life cycle of a request.
+/// What a request is waiting for.
 #[derive(Debug)]
 enum Phase {
-    /// A step is in flight.
+    /// A step is in flight and times out at `until`.
     Running { sent: Instant, until: Instant },
-    /// Waiting before the next retry.
+    /// The recovery starts at `until`.
     Backoff { until: Instant, recovery: Recovery },
-    /// A chain was requested; `retry_at` is the time of the next request if the
-    /// last one found none.
-    Choosing { lost: Layers, since: Instant, retry_at: Option<Instant>, searches: u32 },
-    /// The first of these transfers is in flight.
+    /// Searching for a replacement of the stage of layers `lost` since `since`.
+    /// `retry_at` is when the next search starts, if the last one found none.
+    SearchingChain { lost: Layers, since: Instant, retry_at: Option<Instant>, searches: u32 },
+    /// The first of these transfers is in flight and times out at `until`.
     Importing { transfers: SmallVec<[Transfer; 2]>, until: Instant },
-    /// The request is finished.
+    /// The request is finished, or its first step has not been sent yet.
     Done,
 }
 
@@ -107,7 +115,8 @@
 enum Recovery {
     /// Resend the refused step.
     Resend,
-    /// Run the whole prefix on the same chain again, as a new attempt.
+    /// Recompute the KV cache: run the whole prefix on the same chain again, as a
+    /// new attempt.
     Rebuild,
     /// Move the layers of the failed stage to another endpoint.
     Replace,
@@ -159,12 +168,12 @@
             phase: Phase::Done,
             reply_filter: ReplyFilter::default(),
             step_times,
-            avoid: SmallVec::new(),
+            excluded: SmallVec::new(),
             cache_lost: SmallVec::new(),
             used: SmallVec::new(),
-            token_started: now,
+            token_sent_at: now,
             recoveries_since_token: 0,
-            overloads: 0,
+            overload_retries: 0,
             total_recoveries: 0,
             execution: Execution::NothingRan,
         }
@@ -177,7 +186,7 @@
             return actions;
         }
         let Phase::Running { sent, .. } = self.phase else {
-            self.reply_filter.reject_idle();
+            self.reply_filter.count_unexpected();
             return actions;
         };
         if self.reply_filter.accept(endpoint, &reply.label).is_err() {
@@ -191,13 +200,15 @@
             Output::Token(token) if last => self.on_token(ctx, token, &mut actions),
             Output::Hidden(hidden) if !last && !hidden.is_empty() => {
                 self.execution = Execution::Ran;
-                self.overloads = 0;
+                self.overload_retries = 0;
                 self.step.stage += 1;
                 self.step.input = Input::Hidden(hidden);
                 self.send(ctx, &mut actions);
             }
             _ => {
-                let failure = Failure::Malformed("output of another stage".to_owned());
+                let failure = Failure::Malformed(
+                    "wrong output type for this stage, or empty hidden state".to_owned(),
+                );
                 self.recover(ctx, &failure, None, &mut actions);
             }
         }
@@ -220,7 +231,7 @@
             return actions;
         }
         if !matches!(self.phase, Phase::Running { .. }) {
-            self.reply_filter.reject_idle();
+            self.reply_filter.count_unexpected();
             return actions;
         }
         if self.reply_filter.accept(endpoint, label).is_ok() {
@@ -229,14 +240,14 @@
         actions
     }
 
-    /// Handles the result of [`Action::NeedChain`](super::Action::NeedChain); `None` if no chain
-    /// was found.
+    /// Handles the result of [`Action::NeedChain`](super::Action::NeedChain); `replacement`
+    /// is `None` if no chain was found.
     pub fn on_chain(&mut self, ctx: &mut Context<'_>, replacement: Option<Replacement>) -> Actions {
         let mut actions = Actions::new();
         if self.finish_if_expired(ctx, &mut actions) {
             return actions;
         }
-        let Phase::Choosing { lost, since, retry_at: None, searches } = self.phase else {
+        let Phase::SearchingChain { lost, since, retry_at: None, searches } = self.phase else {
             return actions;
         };
         if let Some(replacement) =
@@ -246,16 +257,18 @@
             return actions;
         }
         if ctx.now.since(since) >= CHAIN_SEARCH_TIMEOUT {
-            self.fail(FailureCode::NoChain, Some(AVOID_PERIOD), &mut actions);
+            self.fail(FailureCode::NoChain, Some(MIN_EXCLUSION_TIME), &mut actions);
             return actions;
         }
         let pause = MIN_CHAIN_SEARCH_PAUSE + retry::backoff(searches, None, ctx.rng);
-        self.phase = Phase::Choosing { lost, since, retry_at: Some(ctx.now + pause), searches };
+        self.phase =
+            Phase::SearchingChain { lost, since, retry_at: Some(ctx.now + pause), searches };
         actions
     }
 
-    /// Handles the result of [`Action::Import`](super::Action::Import): the label of the cache that
-    /// the endpoint now holds, or the requested label after a failure.
+    /// Handles the result of [`Action::Import`](super::Action::Import): `label` is
+    /// that of the cache that the endpoint now holds, or the requested one after a
+    /// failure.
     pub fn on_import(
         &mut self,
         ctx: &mut Context<'_>,
@@ -268,7 +281,7 @@
             return actions;
         }
         let Phase::Importing { transfers, .. } = &mut self.phase else {
-            self.reply_filter.reject_idle();
+            self.reply_filter.count_unexpected();
             return actions;
         };
         if self.reply_filter.accept(to, label).is_err() {
@@ -284,8 +297,8 @@
         actions
     }
 
-    /// Handles the passing of time; must be called at [`Machine::next_deadline`]
-    /// or later.
+    /// Handles expired timeouts and pauses; must be called at
+    /// [`Machine::next_deadline`] or later.
     pub fn on_timer(&mut self, ctx: &mut Context<'_>) -> Actions {
         let mut actions = Actions::new();
         if self.finish_if_expired(ctx, &mut actions) {
@@ -300,10 +313,10 @@
             Phase::Backoff { until, recovery } if ctx.now >= until => {
                 self.start_recovery(ctx, recovery, &mut actions);
             }
-            Phase::Choosing { lost, since, retry_at: Some(retry_at), searches }
+            Phase::SearchingChain { lost, since, retry_at: Some(retry_at), searches }
                 if ctx.now >= retry_at =>
             {
-                self.choose(ctx.now, lost, since, searches + 1, &mut actions);
+                self.request_chain(ctx.now, lost, since, searches + 1, &mut actions);
             }
             Phase::Importing { until, .. } if ctx.now >= until => {
                 self.reply_filter.clear();
@@ -328,7 +341,7 @@
             Phase::Running { until, .. }
             | Phase::Backoff { until, .. }
             | Phase::Importing { until, .. } => until,
-            Phase::Choosing { retry_at, .. } => retry_at.unwrap_or(self.request.deadline),
+            Phase::SearchingChain { retry_at, .. } => retry_at.unwrap_or(self.request.deadline),
             Phase::Done => return None,
         };
         Some(next.min(self.request.deadline))
--- a/mimosashift/src/pipeline/machine/recover.rs
+++ b/mimosashift/src/pipeline/machine/recover.rs
@@ -5,7 +5,7 @@
 use smallvec::SmallVec;
 
 use super::{
-    AVOID_PERIOD, Execution, Machine, PendingStep, Phase, Recovery, Replacement, UsedEndpoint,
+    Execution, MIN_EXCLUSION_TIME, Machine, PendingStep, Phase, Recovery, Replacement, UsedEndpoint,
 };
 use crate::engine::Failure;
 use crate::pipeline::action::{Action, Actions, Context, FailureCode, Scope};
@@ -15,14 +15,17 @@
 use crate::route::Chain;
 use crate::time::Instant;
 
-/// Number of retries at an overloaded endpoint before it is replaced.
+/// Maximum number of retries at an overloaded endpoint before it is replaced.
 const MAX_OVERLOAD_RETRIES: u32 = 2;
-/// Longest requested pause for which an overloaded endpoint is waited for.
+/// Maximum `retry_after` of an overloaded endpoint; with a longer one, the endpoint
+/// is replaced.
 const MAX_OVERLOAD_PAUSE: Duration = Duration::from_millis(100);
 /// Extra time in the timeout of a transfer.
 const IMPORT_TIMEOUT_MARGIN: Duration = Duration::from_millis(50);
 
 impl Machine {
+    /// Starts or schedules the recovery of the failed step; fails the request if the
+    /// time or the retry budget does not suffice.
     pub(super) fn recover(
         &mut self,
         ctx: &mut Context<'_>,
@@ -33,7 +36,7 @@
         if !failure.not_run() {
             self.execution = self.execution.max(Execution::MayHaveRun);
         }
-        let recovery = self.classify(failure, retry_after, ctx.now);
+        let recovery = self.choose_recovery(failure, retry_after, ctx.now);
         let immediate = self.recoveries_since_token == 0 && *failure != Failure::Overloaded;
         let pause = if immediate {
             Duration::ZERO
@@ -65,9 +68,9 @@
         prefill.saturating_add(self.min_completion_time())
     }
 
-    /// Decides how to recover from a failure, and records whether to avoid the
+    /// Decides how to recover from a failure, and records whether to exclude the
     /// endpoint and whether its KV cache is lost.
-    fn classify(
+    fn choose_recovery(
         &mut self,
         failure: &Failure,
         retry_after: Option<Duration>,
@@ -75,18 +78,19 @@
     ) -> Recovery {
         let endpoint = self.chain.stages()[self.step.stage].endpoint.clone();
         let retry_after = retry_after.unwrap_or_default();
-        let wait = self.overloads < MAX_OVERLOAD_RETRIES && retry_after <= MAX_OVERLOAD_PAUSE;
+        let may_wait =
+            self.overload_retries < MAX_OVERLOAD_RETRIES && retry_after <= MAX_OVERLOAD_PAUSE;
         match failure {
-            Failure::Overloaded if wait => {
-                self.overloads += 1;
-                return self.resend();
+            Failure::Overloaded if may_wait => {
+                self.overload_retries += 1;
+                return self.resend_recovery();
             }
             Failure::NoCache | Failure::Refused(_) if self.can_rebuild() => {
                 return Recovery::Rebuild;
             }
             Failure::Overloaded | Failure::Silent(_) => {}
             Failure::Leaving => {
-                self.avoid_until(endpoint, self.request.deadline);
+                self.exclude_until(endpoint, self.request.deadline);
                 return Recovery::Replace;
             }
             Failure::Unreachable(_)
@@ -94,13 +98,13 @@
             | Failure::Refused(_)
             | Failure::Malformed(_) => self.cache_lost.push(endpoint.clone()),
         }
-        self.avoid_until(endpoint, now + AVOID_PERIOD.max(retry_after));
+        self.exclude_until(endpoint, now + MIN_EXCLUSION_TIME.max(retry_after));
         Recovery::Replace
     }
 
-    /// Resends a refused step. A first step gets a new attempt, so that a
+    /// How to resend a refused step. A first step gets a new attempt, so that a
     /// duplicated refusal of one send is not taken for a refusal of the next.
-    const fn resend(&self) -> Recovery {
+    const fn resend_recovery(&self) -> Recovery {
         if self.step.position == 0 && self.step.stage == 0 {
             Recovery::Rebuild
         } else {
@@ -108,17 +112,17 @@
         }
     }
 
-    /// Whether the refusal is due only to the state of the stage, so that a
-    /// rebuild can help. If the step needs no state, or is refused a second time
-    /// in a row, the endpoint itself is taken to be at fault.
+    /// Whether to assume that only the KV cache of the stage is missing or stale, so
+    /// that recomputing it may help. If the step needs no KV cache, or is refused
+    /// a second time in a row, the endpoint itself is taken to be at fault.
     const fn can_rebuild(&self) -> bool {
         self.step.position > 0 && self.recoveries_since_token == 0
     }
 
-    fn avoid_until(&mut self, endpoint: Name, until: Instant) {
-        match self.avoid.iter_mut().find(|(name, _)| *name == endpoint) {
+    fn exclude_until(&mut self, endpoint: Name, until: Instant) {
+        match self.excluded.iter_mut().find(|(name, _)| *name == endpoint) {
             Some((_, old)) => *old = until.max(*old),
-            None => self.avoid.push((endpoint, until)),
+            None => self.excluded.push((endpoint, until)),
         }
     }
 
@@ -133,12 +137,12 @@
             Recovery::Rebuild => self.rebuild(ctx, actions),
             Recovery::Replace => {
                 let lost = self.chain.stages()[self.step.stage].layers;
-                self.choose(ctx.now, lost, ctx.now, 0, actions);
+                self.request_chain(ctx.now, lost, ctx.now, 0, actions);
             }
         }
     }
 
-    pub(super) fn choose(
+    pub(super) fn request_chain(
         &mut self,
         now: Instant,
         lost: Layers,
@@ -146,20 +150,20 @@
         searches: u32,
         actions: &mut Actions,
     ) {
-        self.avoid.retain(|(_, until)| *until > now);
-        let avoid = self.avoid.iter().map(|(name, _)| name.clone()).collect();
+        self.excluded.retain(|(_, until)| *until > now);
+        let avoid = self.excluded.iter().map(|(name, _)| name.clone()).collect();
         let no_state = self.step.position == 0 && self.step.stage == 0;
         let scope = if no_state { Scope::Whole } else { Scope::Range(lost) };
-        self.phase = Phase::Choosing { lost, since, retry_at: None, searches };
+        self.phase = Phase::SearchingChain { lost, since, retry_at: None, searches };
         actions.push(Action::NeedChain { avoid, scope });
     }
 
     /// Whether a replacement runs the same version over all layers and uses no
-    /// avoided endpoint.
+    /// excluded endpoint.
     pub(super) fn is_usable(&self, now: Instant, replacement: &Replacement) -> bool {
         let end = |chain: &Chain| chain.stages().last().map(|stage| stage.layers.end());
         let avoided =
-            |name: &Name| self.avoid.iter().any(|(avoid, until)| avoid == name && *until > now);
+            |name: &Name| self.excluded.iter().any(|(avoid, until)| avoid == name && *until > now);
         replacement.chain.pipeline() == self.chain.pipeline()
             && replacement.chain.version() == self.chain.version()
             && end(&replacement.chain) == end(&self.chain)
@@ -182,7 +186,7 @@
         if ctx.now + expected + self.min_completion_time() > self.request.deadline {
             return self.fail(FailureCode::OutOfTime, None, actions);
         }
-        self.overloads = 0;
+        self.overload_retries = 0;
         let layer = self.chain.stages()[self.step.stage].layers.start();
         self.step_times.set_chain(&replacement.chain);
         self.chain = replacement.chain;
@@ -226,6 +230,7 @@
         };
         let expected = self.cost.transfer_time(&transfers[0]);
         let rebuild_time = self.cost.prefill_time(self.prefix_len());
+        // Allows for a transfer that takes twice the expected time.
         let timeout =
             expected.saturating_mul(2).max(rebuild_time).saturating_add(IMPORT_TIMEOUT_MARGIN);
         let timeout = timeout.min(self.request.deadline.since(ctx.now));
--- a/mimosashift/src/pipeline/machine/step.rs
+++ b/mimosashift/src/pipeline/machine/step.rs
@@ -1,4 +1,4 @@
-//! Sequence of the steps of a request.
+//! Sends the steps of a request and handles its tokens.
 
 use std::time::Duration;
 
@@ -41,22 +41,22 @@
     pub(super) fn on_token(&mut self, ctx: &mut Context<'_>, token: u32, actions: &mut Actions) {
         self.execution = Execution::Ran;
         if self.recoveries_since_token == 0 && self.step.position > 0 {
-            self.step_times.observe_token(ctx.now.since(self.token_started));
+            self.step_times.observe_token(ctx.now.since(self.token_sent_at));
         }
         self.recoveries_since_token = 0;
-        self.overloads = 0;
+        self.overload_retries = 0;
         if self.request.stop == Some(token) {
             return self.finish(Outcome::Complete, actions);
         }
         self.tokens.push(token);
         actions.push(Action::Emit(token));
-        if self.remaining() == 0 {
+        if self.remaining_tokens() == 0 {
             return self.finish(Outcome::Complete, actions);
         }
         if ctx.now + self.min_completion_time() > self.request.deadline {
             return self.fail(FailureCode::OutOfTime, None, actions);
         }
-        self.token_started = ctx.now;
+        self.token_sent_at = ctx.now;
         self.step = PendingStep::decode(self.prefix_len() - 1, token);
         self.send(ctx, actions);
     }
@@ -95,7 +95,7 @@
     }
 
     /// Maximum number of tokens still to generate.
-    fn remaining(&self) -> u32 {
+    fn remaining_tokens(&self) -> u32 {
         let emitted = u32::try_from(self.emitted().len()).unwrap_or(u32::MAX);
         self.request.max_tokens.saturating_sub(emitted)
     }
@@ -103,7 +103,7 @@
     /// Lower bound of the time to finish the completion, from the shortest
     /// observed token time.
     pub(super) fn min_completion_time(&self) -> Duration {
-        let tokens = if self.request.stop.is_some() { 1 } else { self.remaining() };
+        let tokens = if self.request.stop.is_some() { 1 } else { self.remaining_tokens() };
         self.step_times.min_time(tokens)
     }
 
--- a/mimosashift/src/pipeline/recovery.rs
+++ b/mimosashift/src/pipeline/recovery.rs
@@ -14,9 +14,10 @@
 pub struct Cost {
     /// Bytes of KV cache that one layer stores for one token.
     pub kv_bytes: u32,
-    /// Bandwidth between the holder of a cache and its new endpoint.
+    /// Lowest declared bandwidth of the endpoints of the chain.
     pub link_bytes_per_second: u64,
-    /// Fixed time of one transfer.
+    /// Longest declared round-trip time of the endpoints of the chain; added to
+    /// each transfer.
     pub link_latency: Duration,
     /// Time to run a prompt through the whole chain, regardless of its length.
     pub prefill_base: Duration,
@@ -37,16 +38,18 @@
             prefill_base: Duration::ZERO,
             prefill_token: Duration::ZERO,
         };
+        // Each stage receives and sends the hidden state.
         let token_bytes = 2.0 * f64::from(pipeline.hidden_bytes);
         for (engine, layers) in stages {
             let compute = Duration::from_micros(u64::from(engine.layer_us));
             let compute = compute * u32::from(layers.count());
-            let trip = Duration::from_micros(u64::from(engine.link_us) * 2);
+            let round_trip = Duration::from_micros(u64::from(engine.link_us) * 2);
             let bandwidth = engine.link_bytes_per_second.max(1);
-            cost.prefill_base += trip + compute;
+            cost.prefill_base += round_trip + compute;
+            // Cost of a second token in a step, relative to the first.
             cost.prefill_token += compute.mul_f32(time_model::step_weight(2.0) - 1.0);
             cost.prefill_token += Duration::from_secs_f64(token_bytes / bandwidth as f64);
-            cost.link_latency = cost.link_latency.max(trip);
+            cost.link_latency = cost.link_latency.max(round_trip);
             cost.link_bytes_per_second = cost.link_bytes_per_second.min(bandwidth);
         }
         cost
@@ -60,8 +63,8 @@
 
     /// Expected time to copy one cache.
     pub fn transfer_time(&self, transfer: &Transfer) -> Duration {
-        let cells = u64::from(transfer.tokens) * u64::from(transfer.layers.count());
-        let bytes = cells.saturating_mul(u64::from(self.kv_bytes));
+        let layer_tokens = u64::from(transfer.tokens) * u64::from(transfer.layers.count());
+        let bytes = layer_tokens.saturating_mul(u64::from(self.kv_bytes));
         let micros = u128::from(bytes) * 1_000_000 / u128::from(self.link_bytes_per_second.max(1));
         let micros = u64::try_from(micros).unwrap_or(u64::MAX);
         self.link_latency.saturating_add(Duration::from_micros(micros))
@@ -99,7 +102,7 @@
 
 impl InterruptedStep {
     /// Number of tokens whose cache `stage` must hold for the step to resume.
-    fn cached(self, stage: &Stage) -> u32 {
+    fn required_cache_tokens(self, stage: &Stage) -> u32 {
         if stage.layers.end() <= self.layer { self.position + self.count } else { self.position }
     }
 }
@@ -107,13 +110,15 @@
 /// How a request continues on a new chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// Copy these caches, then resend the interrupted step.
+    /// Copy the KV cache of these layers, then resend the interrupted step.
     Resume(SmallVec<[Transfer; 2]>),
-    /// Run the prompt and the accepted tokens through the whole chain.
+    /// Recompute the KV cache: run the prompt and the accepted tokens through the
+    /// whole chain.
     Rebuild,
 }
 
-/// Endpoints that a recovery may copy from, and those that it may not copy to.
+/// Endpoints that a recovery may copy KV cache from, and endpoints that it may
+/// not copy to.
 #[derive(Clone, Copy)]
 pub struct Endpoints<'a> {
     /// Endpoints whose cache can be read.
@@ -127,12 +132,12 @@
 pub fn plan(
     old: &Chain,
     new: &Chain,
-    at: InterruptedStep,
+    interrupted: InterruptedStep,
     endpoints: Endpoints<'_>,
     cost: &Cost,
 ) -> Plan {
-    let Some(transfers) = transfers(old, new, at, endpoints) else { return Plan::Rebuild };
-    let rebuild = cost.prefill_time(at.position + at.count);
+    let Some(transfers) = transfers(old, new, interrupted, endpoints) else { return Plan::Rebuild };
+    let rebuild = cost.prefill_time(interrupted.position + interrupted.count);
     if cost.import_time(&transfers) > rebuild { Plan::Rebuild } else { Plan::Resume(transfers) }
 }
 
@@ -141,23 +146,23 @@
 fn transfers(
     old: &Chain,
     new: &Chain,
-    at: InterruptedStep,
+    interrupted: InterruptedStep,
     endpoints: Endpoints<'_>,
 ) -> Option<SmallVec<[Transfer; 2]>> {
-    let resumable = new.stages().iter().any(|stage| stage.layers.start() == at.layer);
+    let resumable = new.stages().iter().any(|stage| stage.layers.start() == interrupted.layer);
     if !resumable {
         return None;
     }
     let mut transfers = SmallVec::new();
     for stage in new.stages() {
-        let interrupted = stage.layers.start() == at.layer;
-        if old.stages().contains(stage) && !interrupted {
+        let is_interrupted = stage.layers.start() == interrupted.layer;
+        if old.stages().contains(stage) && !is_interrupted {
             continue;
         }
         if endpoints.used.contains(&stage.endpoint) {
             return None;
         }
-        let tokens = at.cached(stage);
+        let tokens = interrupted.required_cache_tokens(stage);
         if tokens > 0 {
             transfers.push(transfer(old, stage, tokens, endpoints.holders)?);
         }
--- a/mimosashift/src/pipeline/reply_filter.rs
+++ b/mimosashift/src/pipeline/reply_filter.rs
@@ -12,7 +12,7 @@
     Idle,
     /// It belongs to another request.
     Request,
-    /// It carries another model or version.
+    /// Its label names another pipeline or version.
     Version,
     /// It carries another attempt.
     Attempt,
@@ -25,7 +25,7 @@
 }
 
 impl DropReason {
-    /// Every reason, in the order in which labels are compared.
+    /// Every reason, in the order in which it is checked.
     pub const ALL: [Self; 7] = [
         Self::Idle,
         Self::Request,
@@ -108,7 +108,7 @@
     }
 
     /// Counts a reply that is no longer expected.
-    pub const fn reject_idle(&mut self) {
+    pub const fn count_unexpected(&mut self) {
         self.drops.add(DropReason::Idle);
     }
 
--- a/mimosashift/src/pipeline/retry.rs
+++ b/mimosashift/src/pipeline/retry.rs
@@ -8,24 +8,26 @@
 
 use crate::time::Instant;
 
-/// Upper bound of the first backoff.
-const BACKOFF_BASE: Duration = Duration::from_millis(20);
-/// Upper bound of every backoff.
-const BACKOFF_CAP: Duration = Duration::from_secs(1);
+/// Upper bound of the random part of the first backoff.
+const INITIAL_MAX_JITTER: Duration = Duration::from_millis(20);
+/// Upper bound of the random part of every backoff.
+const MAX_JITTER: Duration = Duration::from_secs(1);
 
-/// Length of the time slots in which a [`Window`] counts: small compared to a
-/// window of seconds.
+/// Length of a time slot in the counts of a [`Window`], whose length is some
+/// seconds.
 const SLOT_MICROS: u64 = 250_000;
 
-/// A [`Window`] counts retries over its length plus this margin, and requests
-/// over its length minus this margin: two slots.
+/// Margin for slot rounding and for the time until a counted retry reaches its
+/// endpoint: two slots. A [`Window`] counts retries over its length plus this
+/// margin, and requests over its length minus this margin.
 const COUNT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Share of the extra retries that a restarted router may use in its first
-/// window, so that it and its previous process together stay within the limit.
+/// Share of [`WindowLimits::extra`] that is available in the first window after a
+/// start. A process uses at most the remaining share in later windows, so that a
+/// restarted router and its previous process together stay within `extra`.
 const FIRST_WINDOW_SHARE: f64 = 1.0 / 3.0;
 
-/// Share of the extra retries that may be used in later windows.
+/// Share of [`WindowLimits::extra`] that is available in later windows.
 const LATER_WINDOW_SHARE: f64 = 1.0 - FIRST_WINDOW_SHARE;
 
 /// Settings of a [`Budget`].
@@ -39,21 +41,22 @@
     pub burst: f64,
 }
 
-/// A token bucket that limits retries to a fixed share of the traffic.
+/// A token bucket that limits retries to a share of the requests plus a constant
+/// rate.
 ///
 /// Without it, the loss of a large part of the endpoints would multiply the
 /// load on the rest. See `docs/design/pipeline.md`.
 #[derive(Clone, Debug)]
 pub struct Budget {
     settings: BudgetSettings,
-    tokens: f64,
-    refilled: Instant,
+    available_retries: f64,
+    last_refill: Instant,
 }
 
 impl Budget {
     /// Creates a full budget.
     pub const fn new(settings: BudgetSettings, now: Instant) -> Self {
-        Self { settings, tokens: settings.burst, refilled: now }
+        Self { settings, available_retries: settings.burst, last_refill: now }
     }
 
     /// Adds the share of one new request.
@@ -66,23 +69,23 @@
     /// available.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
         self.refill(now);
-        if self.tokens >= 1.0 {
-            self.tokens -= 1.0;
+        if self.available_retries >= 1.0 {
+            self.available_retries -= 1.0;
             return Ok(());
         }
-        let missing = 1.0 - self.tokens;
+        let missing = 1.0 - self.available_retries;
         let wait = Duration::try_from_secs_f64(missing / self.settings.per_second);
         Err(wait.unwrap_or(Duration::MAX))
     }
 
     fn refill(&mut self, now: Instant) {
-        let elapsed = now.since(self.refilled);
-        self.refilled = self.refilled.max(now);
+        let elapsed = now.since(self.last_refill);
+        self.last_refill = self.last_refill.max(now);
         self.add(elapsed.as_secs_f64() * self.settings.per_second);
     }
 
-    fn add(&mut self, tokens: f64) {
-        self.tokens = (self.tokens + tokens).min(self.settings.burst);
+    fn add(&mut self, retries: f64) {
+        self.available_retries = (self.available_retries + retries).min(self.settings.burst);
     }
 }
 
@@ -93,7 +96,8 @@
     pub length: Duration,
     /// Retries allowed for each request within it.
     pub per_request: f64,
-    /// Additional retries allowed within it.
+    /// Additional retries allowed within it to a router and its previous process
+    /// together. One process may use only a part of them, see [`Window::take`].
     pub extra: f64,
 }
 
@@ -136,8 +140,8 @@
 }
 
 impl Window {
-    /// Creates an empty window of a process that starts now. Until its length has
-    /// passed, only a part of the extra retries is available: the previous
+    /// Creates an empty window for a process that has just started. Until its
+    /// length has passed, only a part of the extra retries is available: the previous
     /// process of this router may have used the rest.
     pub fn new(now: Instant) -> Self {
         Self { started: now, requests: SlotCounts::default(), retries: SlotCounts::default() }
@@ -148,14 +152,18 @@
         self.requests.add(now);
     }
 
-    /// Takes one retry, if the window allows one.
+    /// Takes one retry, if the window allows one. One third of the extra retries is
+    /// available in the first window after the start, and two thirds later.
     pub fn take(&mut self, limits: &WindowLimits, now: Instant) -> bool {
         let WindowLimits { length, per_request, extra } = *limits;
         self.requests.evict(length, now);
+        // Keeps every slot that is counted below.
         self.retries.evict(length + 2 * COUNT_MARGIN, now);
         let is_new = now.since(self.started) < length + COUNT_MARGIN;
         let extra = extra * if is_new { FIRST_WINDOW_SHARE } else { LATER_WINDOW_SHARE };
-        // A retry reaches the endpoint later than it is counted here.
+        // A retry reaches the endpoint later than it is counted here. Counting
+        // requests over a shorter span and retries over a longer one keeps their
+        // ratio at the endpoint within the limit.
         let requests = self.requests.within(length.saturating_sub(COUNT_MARGIN), now);
         let allowed = per_request * requests + extra;
         let is_allowed = self.retries.within(length + COUNT_MARGIN, now) + 1.0 <= allowed;
@@ -175,7 +183,8 @@
 /// Time to wait before retry number `retry`, counted from 0: the pause that the
 /// endpoint requested, plus full jitter under an exponential bound.
 pub fn backoff(retry: u32, retry_after: Option<Duration>, rng: &mut Pcg64Mcg) -> Duration {
-    let bound = BACKOFF_BASE.saturating_mul(1 << retry.min(16)).min(BACKOFF_CAP);
+    // The limit on the exponent prevents overflow; the bound is reached before it.
+    let bound = INITIAL_MAX_JITTER.saturating_mul(1 << retry.min(16)).min(MAX_JITTER);
     let jitter = bound.mul_f64(rng.random_range(0.0..1.0));
     retry_after.unwrap_or_default().saturating_add(jitter)
 }
--- a/mimosashift/src/pipeline/step_times.rs
+++ b/mimosashift/src/pipeline/step_times.rs
@@ -9,16 +9,17 @@
 /// Weight of the newest step time in the moving average.
 const EWMA_WEIGHT: f64 = 0.2;
 /// Maximum number of times that a timeout is doubled.
-const MAX_DOUBLINGS: u32 = 6;
+const MAX_TIMEOUT_DOUBLINGS: u32 = 6;
 
 /// Bounds of a step's timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeoutLimits {
-    /// Minimum timeout.
+    /// Minimum timeout of a step of one token, before doubling.
     pub floor: Duration,
-    /// Maximum timeout of a step of one token.
+    /// Maximum timeout of a step of one token, before doubling.
     pub ceiling: Duration,
-    /// Timeout of a step of one token at a stage without an observed step.
+    /// Timeout of a step of one token at a stage without an observed step, and the
+    /// minimum timeout of a step of several tokens; both before doubling.
     pub initial: Duration,
     /// Ratio of the timeout to the expected time.
     pub factor: u32,
@@ -66,7 +67,7 @@
     }
 
     /// Timeout of a step of one token. It doubles with each recovery that yields
-    /// no token, so that a slow system is not mistaken for a failed stage forever.
+    /// no token, so that the steps of a slow system eventually finish in time.
     pub fn decode_timeout(&self, stage: usize, recoveries: u32) -> Duration {
         let TimeoutLimits { floor, ceiling, initial, factor } = self.limits;
         let average = self.stages[stage].1;
@@ -81,7 +82,7 @@
     }
 
     fn doubled(timeout: Duration, recoveries: u32) -> Duration {
-        timeout.saturating_mul(1 << recoveries.min(MAX_DOUBLINGS))
+        timeout.saturating_mul(1 << recoveries.min(MAX_TIMEOUT_DOUBLINGS))
     }
 }
 
--- a/mimosashift/src/posting/batch.rs
+++ b/mimosashift/src/posting/batch.rs
@@ -11,7 +11,7 @@
 /// Maximum number of writes in one batch.
 pub const MAX_BATCH_MEMBERS: usize = 64;
 
-/// Longest time that a write waits to be grouped with others while the write
+/// Maximum time that a write waits to be grouped with others while the write
 /// budget allows a commit.
 pub const LINGER: Duration = Duration::from_millis(3);
 
@@ -39,8 +39,8 @@
 pub struct Batch<T> {
     members: Vec<BatchMember<T>>,
     /// Whether a transaction with all members may have taken effect.
-    uncertain: bool,
-    repeats_left: u8,
+    may_have_committed: bool,
+    retries_left: u8,
 }
 
 /// Result of a grouped commit.
@@ -53,8 +53,8 @@
 }
 
 impl<T> Queue<T> {
-    /// How often a batch is retried after an unknown outcome.
-    const MAX_REPEATS: u8 = 2;
+    /// Maximum number of retries of a batch after an unknown outcome.
+    const MAX_RETRIES: u8 = 2;
 
     /// Creates a queue that groups up to `max_members`, waiting at most `linger`.
     pub const fn new(max_members: usize, linger: Duration) -> Self {
@@ -74,8 +74,8 @@
 
     /// Takes the next batch if it is due.
     ///
-    /// The caller takes a token of the write budget first. While there is none,
-    /// writes accumulate here, so batches grow as the budget runs short.
+    /// The caller takes one write from the write budget first. While none is
+    /// available, writes accumulate here, so batches grow when the budget is used up.
     ///
     /// Two writes of the same row never share a batch: both preconditions
     /// would hold although only one of the writes may succeed.
@@ -94,7 +94,7 @@
             }
         }
         self.waiting = deferred;
-        Some(Batch { members, uncertain: false, repeats_left: Self::MAX_REPEATS })
+        Some(Batch { members, may_have_committed: false, retries_left: Self::MAX_RETRIES })
     }
 }
 
@@ -114,7 +114,7 @@
     }
 
     /// Whether `row` holds the value that this member writes.
-    fn wrote(&self, row: &Row) -> bool {
+    fn matches_written_value(&self, row: &Row) -> bool {
         let puts =
             |write: &Write| matches!(write, Write::Put(k, v) if *k == row.key && *v == row.value);
         self.transaction.writes.iter().any(puts)
@@ -142,7 +142,8 @@
         self.members.is_empty()
     }
 
-    /// Maps the outcome of the grouped commit to its members.
+    /// Assigns the outcome of the grouped commit to its members, or returns the
+    /// batch, whole or in halves, to be committed again.
     pub fn settle(mut self, outcome: Outcome<u64>) -> BatchOutcome<T> {
         match outcome {
             Outcome::NotDone(Refusal::Conflict(Some(row))) => self.settle_conflict(row),
@@ -154,13 +155,13 @@
                 BatchOutcome { outcomes: Vec::new(), remaining: vec![self, second] }
             }
             Outcome::Done(_) => self.settle_all(&outcome),
-            Outcome::NotDone(_) if !self.uncertain => self.settle_all(&outcome),
-            Outcome::NotDone(_) | Outcome::Unknown if self.repeats_left == 0 => {
+            Outcome::NotDone(_) if !self.may_have_committed => self.settle_all(&outcome),
+            Outcome::NotDone(_) | Outcome::Unknown if self.retries_left == 0 => {
                 self.settle_all(&Outcome::Unknown)
             }
             Outcome::NotDone(_) | Outcome::Unknown => {
-                self.repeats_left -= 1;
-                self.uncertain = true;
+                self.retries_left -= 1;
+                self.may_have_committed = true;
                 BatchOutcome { outcomes: Vec::new(), remaining: vec![self] }
             }
         }
@@ -175,12 +176,14 @@
         let Some(index) = self.members.iter().position(conflicts) else {
             return self.settle_all(&Outcome::Unknown);
         };
-        let wrote = self.members[index].wrote(&row);
-        if wrote && self.uncertain && !self.members[index].repeat {
+        let matches_written_value = self.members[index].matches_written_value(&row);
+        if matches_written_value && self.may_have_committed && !self.members[index].repeat {
             return self.settle_all(&Outcome::Done(row.revision));
         }
         let member = self.members.remove(index);
-        self.uncertain &= wrote;
+        // Another value in the row shows that no earlier commit of this batch took
+        // effect.
+        self.may_have_committed &= matches_written_value;
         let outcome = Outcome::NotDone(Refusal::Conflict(Some(row)));
         let remaining = if self.members.is_empty() { Vec::new() } else { vec![self] };
         BatchOutcome { outcomes: vec![(member.tag, outcome)], remaining }
--- a/mimosashift/src/posting/entry.rs
+++ b/mimosashift/src/posting/entry.rs
@@ -22,7 +22,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// The call may not have been sent yet, be running, or have been lost.
+    /// The outcome is unknown: the call is unsent or running, or it was interrupted
+    /// without a reply.
     Claimed,
     /// The call ran, and the service returned this reply.
     Replied(Reply),
--- a/mimosashift/src/posting/machine.rs
+++ b/mimosashift/src/posting/machine.rs
@@ -7,7 +7,7 @@
 use crate::time::Instant;
 
 /// Maximum number of times that the pause between retries of a write doubles.
-const MAX_DOUBLINGS: u8 = 6;
+const MAX_RETRY_PAUSE_DOUBLINGS: u8 = 6;
 
 /// One attempt at a call that must not be repeated.
 ///
@@ -19,11 +19,13 @@
     settings: Settings,
     request: Request,
     phase: Phase,
-    /// When the time window of the current phase ends.
+    /// When the call may no longer be sent (claiming, sending), or when retries of
+    /// the write stop (recording, releasing).
     deadline: Instant,
     /// When to retry the commit; no commit is outstanding until then.
     retry_at: Option<Instant>,
-    /// Number of retries in the current phase.
+    /// Number of retries of the claim, or of the write that records or releases it,
+    /// capped at `MAX_RETRY_PAUSE_DOUBLINGS + 1`.
     retries: u8,
     answered: bool,
 }
@@ -63,11 +65,11 @@
         cancelled: bool,
     },
     /// The call is being sent to the service.
-    Sending { claim: Option<u64>, connect_attempts: u8 },
+    Sending { claim_revision: Option<u64>, connect_attempts: u8 },
     /// The reply is being recorded.
-    Recording { claim: u64, reply: Reply },
+    Recording { claim_revision: u64, reply: Reply },
     /// The claim is being released; the call is not sent any more.
-    Releasing { claim: u64 },
+    Releasing { claim_revision: u64 },
     /// Nothing is left to do.
     Finished,
 }
@@ -79,7 +81,7 @@
         let phase = if has_key {
             Phase::Claiming { replaced: None, uncertain: false, cancelled: false }
         } else {
-            Phase::Sending { claim: None, connect_attempts: 1 }
+            Phase::Sending { claim_revision: None, connect_attempts: 1 }
         };
         let deadline = now + settings.send_window;
         let machine = Self {
@@ -106,7 +108,7 @@
                 self.on_claim_outcome(outcome, replaced, uncertain, cancelled, now)
             }
             Phase::Recording { .. } | Phase::Releasing { .. } => {
-                self.on_settle_outcome(outcome, now)
+                self.on_record_or_release_outcome(outcome, now)
             }
             Phase::Sending { .. } | Phase::Finished => Actions::new(),
         }
@@ -114,23 +116,25 @@
 
     /// Handles the result of sending the call.
     pub fn delivered(&mut self, delivery: Delivery, now: Instant) -> Actions {
-        let Phase::Sending { claim, connect_attempts } = self.phase else {
+        let Phase::Sending { claim_revision, connect_attempts } = self.phase else {
             return Actions::new();
         };
         match delivery {
             Delivery::NotConnected
                 if connect_attempts < self.settings.max_connect_attempts && now < self.deadline =>
             {
-                self.phase = Phase::Sending { claim, connect_attempts: connect_attempts + 1 };
+                self.phase =
+                    Phase::Sending { claim_revision, connect_attempts: connect_attempts + 1 };
                 smallvec![Action::Send { before: self.deadline }]
             }
-            Delivery::NotConnected => self.give_up(claim, now),
-            Delivery::Replied(reply) => self.record(claim, reply, now),
+            Delivery::NotConnected => self.release_claim(claim_revision, now),
+            Delivery::Replied(reply) => self.record(claim_revision, reply, now),
             Delivery::Lost => self.finish(CallResult::Unknown),
         }
     }
 
-    /// Retries a commit that is due and ends a time window that has passed.
+    /// Retries the commit if its pause has passed. Cancels the attempt if the claim
+    /// was not confirmed by the deadline.
     pub fn tick(&mut self, now: Instant) -> Actions {
         let mut actions = Actions::new();
         if now >= self.deadline && matches!(self.phase, Phase::Claiming { .. }) {
@@ -154,7 +158,7 @@
         self.answer(CallResult::NotRun)
     }
 
-    /// When [`tick`](Self::tick) has something to do.
+    /// When [`tick`](Self::tick) must be called next, or `None` if no timer is set.
     pub fn wake_at(&self) -> Option<Instant> {
         match self.phase {
             Phase::Claiming { cancelled: false, .. } => {
@@ -219,40 +223,41 @@
         }
     }
 
-    fn on_claim_written(&mut self, claim: u64, cancelled: bool, now: Instant) -> Actions {
+    fn on_claim_written(&mut self, claim_revision: u64, cancelled: bool, now: Instant) -> Actions {
         if cancelled || now >= self.deadline {
-            return self.give_up(Some(claim), now);
+            return self.release_claim(Some(claim_revision), now);
         }
-        self.phase = Phase::Sending { claim: Some(claim), connect_attempts: 1 };
+        self.phase = Phase::Sending { claim_revision: Some(claim_revision), connect_attempts: 1 };
         smallvec![Action::Send { before: self.deadline }]
     }
 
-    fn give_up(&mut self, claim: Option<u64>, now: Instant) -> Actions {
-        let Some(claim) = claim else {
+    /// Releases the claim of a call that was not sent; finishes if there is none.
+    fn release_claim(&mut self, claim_revision: Option<u64>, now: Instant) -> Actions {
+        let Some(claim_revision) = claim_revision else {
             return self.finish(CallResult::NotRun);
         };
         self.deadline = now + self.settings.settle_window;
         self.retries = 0;
-        self.phase = Phase::Releasing { claim };
+        self.phase = Phase::Releasing { claim_revision };
         let mut actions = self.answer(CallResult::NotRun);
         actions.extend(self.commit_actions(false));
         actions
     }
 
-    fn record(&mut self, claim: Option<u64>, reply: Reply, now: Instant) -> Actions {
-        let Some(claim) = claim else {
+    fn record(&mut self, claim_revision: Option<u64>, reply: Reply, now: Instant) -> Actions {
+        let Some(claim_revision) = claim_revision else {
             return self.finish(CallResult::Replied(reply));
         };
         self.deadline = now + self.settings.settle_window;
         self.retries = 0;
-        self.phase = Phase::Recording { claim, reply: reply.to_record() };
+        self.phase = Phase::Recording { claim_revision, reply: reply.to_record() };
         let mut actions = self.answer(CallResult::Replied(reply));
         actions.extend(self.commit_actions(false));
         actions
     }
 
     /// Finishes recording or releasing once the outcome of its write is known.
-    fn on_settle_outcome(&mut self, outcome: &Outcome<u64>, now: Instant) -> Actions {
+    fn on_record_or_release_outcome(&mut self, outcome: &Outcome<u64>, now: Instant) -> Actions {
         match outcome {
             Outcome::Done(_) | Outcome::NotDone(Refusal::Conflict(_) | Refusal::Invalid(_)) => {
                 self.phase = Phase::Finished;
@@ -262,8 +267,8 @@
         }
     }
 
-    /// Schedules a retry of the same write, or leaves the claim to an operator
-    /// when the time for retries is over.
+    /// Schedules a retry of the same write. Finishes once the retry time has passed;
+    /// a row that is still claimed is left for an operator to resolve.
     fn schedule_retry(&mut self, now: Instant) -> Actions {
         let retry_deadline = match self.phase {
             Phase::Claiming { .. } => self.deadline + self.settings.settle_window,
@@ -272,7 +277,7 @@
         if now >= retry_deadline {
             return self.finish(CallResult::NotRun);
         }
-        let doublings = self.retries.min(MAX_DOUBLINGS);
+        let doublings = self.retries.min(MAX_RETRY_PAUSE_DOUBLINGS);
         self.retry_at = Some(now + self.settings.retry_pause * (1 << doublings));
         self.retries = doublings + 1;
         Actions::new()
@@ -301,10 +306,12 @@
             Phase::Claiming { replaced: Some(replaced), .. } => {
                 (revision_check(key, *replaced), State::Claimed)
             }
-            Phase::Recording { claim, reply } => {
-                (revision_check(key, *claim), State::Replied(reply.clone()))
+            Phase::Recording { claim_revision, reply } => {
+                (revision_check(key, *claim_revision), State::Replied(reply.clone()))
+            }
+            Phase::Releasing { claim_revision } => {
+                (revision_check(key, *claim_revision), State::Released)
             }
-            Phase::Releasing { claim } => (revision_check(key, *claim), State::Released),
             Phase::Sending { .. } | Phase::Finished => return Actions::new(),
         };
         let Request { nonce, digest, unix_ms, .. } = self.request;
--- a/mimosashift/src/posting/mod.rs
+++ b/mimosashift/src/posting/mod.rs
@@ -30,7 +30,7 @@
 pub const MAX_KEY_BYTES: usize = 255;
 
 quick_error! {
-    /// Why a call could not be claimed.
+    /// Why an idempotency key or a stored claim is invalid.
     #[derive(Clone, Debug, PartialEq, Eq)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
@@ -56,11 +56,14 @@
 /// Limits on the duration and the retries of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Time after the start in which the call may be sent.
+    /// Time from the start of the attempt until which the call may be sent.
     pub send_window: Duration,
-    /// Time within which a reply is recorded or a claim released.
+    /// Time for which the write that records a reply or releases a claim is retried.
+    /// A claim whose write has an unknown outcome is retried until this time after
+    /// the send window.
     pub settle_window: Duration,
-    /// Pause before the first retry of a write; it doubles up to 64 times this.
+    /// Pause before the first retry of a write; it doubles on each retry,
+    /// to at most 64 times this value.
     pub retry_pause: Duration,
     /// Maximum number of connection attempts to the service.
     pub max_connect_attempts: u8,
@@ -134,7 +137,8 @@
 
 /// The row that holds the claim for `idempotency_key` of `team` at `service`.
 ///
-/// Names contain no `/`, so two scopes never share a row.
+/// Names contain no `/`, so keys of different teams or services never share a
+/// row.
 pub fn claim_key(team: &Name, service: &Name, idempotency_key: &str) -> Result<Key, Error> {
     let printable = idempotency_key.bytes().all(|b| b.is_ascii_graphic());
     if idempotency_key.is_empty() || idempotency_key.len() > MAX_KEY_BYTES || !printable {
--- a/mimosashift/src/posting/reply.rs
+++ b/mimosashift/src/posting/reply.rs
@@ -11,7 +11,7 @@
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// The retained headers, in order.
+    /// Headers that are returned and recorded, in order.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Body,
@@ -27,6 +27,7 @@
     Digest([u8; 32]),
 }
 
+/// Stored form of [`Body`]; both strings are hexadecimal.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum WireBody {
--- a/mimosashift/src/posting/resolve.rs
+++ b/mimosashift/src/posting/resolve.rs
@@ -7,9 +7,9 @@
 use super::{Entry, State};
 use crate::platform::{Check, Row, Transaction, Write};
 
-/// Minimum age of a claim that may be resolved. It is far above the time within
-/// which its router may still send the call, so that a call resolved as not run
-/// is not sent later.
+/// Minimum age of a claim that may be resolved. It must exceed
+/// [`Settings::send_window`](super::Settings::send_window), so that a call resolved
+/// as not run is not sent later.
 pub const MIN_RESOLVE_AGE: Duration = Duration::from_secs(600);
 
 /// How an operator resolves a claim whose outcome is unknown.
@@ -54,9 +54,9 @@
     if entry.state != State::Claimed {
         return Err(Error::AlreadySettled(row.key.key.clone()));
     }
-    let age = age(&entry, unix_ms);
-    if age < MIN_RESOLVE_AGE {
-        return Err(Error::TooRecent(row.key.key.clone(), age));
+    let claim_age = age(&entry, unix_ms);
+    if claim_age < MIN_RESOLVE_AGE {
+        return Err(Error::TooRecent(row.key.key.clone(), claim_age));
     }
     let state = match resolution {
         Resolution::Ran => State::Ran,
--- a/mimosashift/tests/pipeline.rs
+++ b/mimosashift/tests/pipeline.rs
@@ -16,7 +16,7 @@
 use rand_pcg::Pcg64Mcg;
 use test_case::test_case;
 
-const PROMPT: u32 = 32;
+const PROMPT_TOKENS: u32 = 32;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -38,7 +38,7 @@
     Chain::new(name("p"), 1, 12, stages.iter().map(stage)).unwrap()
 }
 
-fn abc() -> Chain {
+fn three_stage_chain() -> Chain {
     chain(&[("a", 0, 4), ("b", 4, 8), ("c", 8, 12)])
 }
 
@@ -63,21 +63,26 @@
 }
 
 impl Harness {
-    fn new(max_tokens: u32, deadline: u64, share: BudgetSettings) -> Self {
+    fn new(max_tokens: u32, deadline_ms: u64, budget_settings: BudgetSettings) -> Self {
         let mut rng = Pcg64Mcg::new(7);
-        let mut budget = Budget::new(share, Instant::ZERO);
+        let mut budget = Budget::new(budget_settings, Instant::ZERO);
         let mut ctx = Context { now: Instant::ZERO, rng: &mut rng, budget: &mut budget };
         let request = Request {
             id: RequestId(1),
-            prompt: (0..PROMPT).collect(),
+            prompt: (0..PROMPT_TOKENS).collect(),
             max_tokens,
             stop: Some(0),
-            deadline: Instant::from_millis(deadline),
+            deadline: Instant::from_millis(deadline_ms),
             priority: 0,
             adapter: None,
         };
-        let (machine, actions) =
-            Machine::start(&mut ctx, request, abc(), cost(100), TimeoutLimits::default());
+        let (machine, actions) = Machine::start(
+            &mut ctx,
+            request,
+            three_stage_chain(),
+            cost(100),
+            TimeoutLimits::default(),
+        );
         Self { now: Instant::ZERO, rng, budget, machine, actions }
     }
 
@@ -129,7 +134,7 @@
     }
 
     fn wait(&mut self) {
-        self.now = self.machine.next_deadline().expect("the request is not over");
+        self.now = self.machine.next_deadline().expect("the request must not be finished");
         self.input(Machine::on_timer);
     }
 
@@ -195,12 +200,12 @@
     if moved.is_none() {
         let (endpoint, Step { label, .. }) = harness.sent();
         assert_eq!((endpoint, label.attempt, label.position), (name("a"), 2, 0));
-        assert_eq!(label.count, PROMPT + 1);
+        assert_eq!(label.count, PROMPT_TOKENS + 1);
     }
 }
 
 #[test]
-fn overloaded_endpoint_is_asked_again_then_replaced() {
+fn overloaded_endpoint_is_retried_then_replaced() {
     let mut harness = Harness::new(9, 60_000, BudgetSettings::default());
     harness.answer_steps(4);
     for _ in 0..2 {
@@ -215,7 +220,7 @@
 }
 
 #[test]
-fn duplicate_refusal_of_first_step_counts_once() {
+fn duplicate_refusal_of_first_step_is_dropped() {
     let mut harness =
         Harness::new(9, 60_000, BudgetSettings { burst: 1.0, ..BudgetSettings::default() });
     let (endpoint, first) = harness.sent();
@@ -229,8 +234,8 @@
     assert_eq!(harness.machine.drops().count(DropReason::Attempt), 1);
 }
 
-/// Number of cache copies with which `abc` continues after its decode step at
-/// the given position was interrupted at stage b; `None` for a rebuild.
+/// Number of KV cache transfers planned after stage b failed at `position`; `None`
+/// if the cache is recomputed.
 #[test_case(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)], &["b"], 40, 100 => Some(1); "small cache is copied")]
 #[test_case(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)], &["b"], 40, 10_000 => None; "large cache is rebuilt")]
 #[test_case(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)], &[], 40, 100 => None; "lost cache is rebuilt")]
@@ -244,13 +249,13 @@
     stages: &[(&str, u16, u16)],
     holders: &[&str],
     position: u32,
-    kv: u32,
+    kv_bytes: u32,
 ) -> Option<usize> {
     let holders: Vec<Name> = holders.iter().map(|holder| name(holder)).collect();
     let used = ["a", "b", "c"].map(name);
     let endpoints = Endpoints { holders: &holders, used: &used };
     let at = InterruptedStep { layer: 4, position, count: 1 };
-    match plan(&abc(), &chain(stages), at, endpoints, &cost(kv)) {
+    match plan(&three_stage_chain(), &chain(stages), at, endpoints, &cost(kv_bytes)) {
         Plan::Resume(transfers) => Some(transfers.len()),
         Plan::Rebuild => None,
     }
@@ -263,7 +268,7 @@
     let holders = ["a", "b"].map(name);
     let endpoints = Endpoints { holders: &holders, used: &[] };
     let at = InterruptedStep { layer: 4, position: 40, count: 1 };
-    let Plan::Resume(transfers) = plan(&abc(), &new, at, endpoints, &cost(10)) else {
+    let Plan::Resume(transfers) = plan(&three_stage_chain(), &new, at, endpoints, &cost(10)) else {
         panic!("copying must be cheaper");
     };
     let tokens: Vec<u32> = transfers.iter().map(|transfer| transfer.tokens).collect();
@@ -275,7 +280,7 @@
 #[test_case(Some(Err(Failure::NoCache)), 0 => (name("a"), 2); "refused")]
 #[test_case(Some(Ok(())), 1 => (name("a"), 2); "wrong count")]
 #[test_case(None, 0 => (name("a"), 2); "lost")]
-fn step_after_import(result: Option<Result<(), Failure>>, extra: u32) -> (Name, u32) {
+fn step_after_import(result: Option<Result<(), Failure>>, extra_tokens: u32) -> (Name, u32) {
     let mut harness = Harness::new(9, 60_000, BudgetSettings::default());
     harness.answer_steps(4);
     harness.fail(&Failure::Leaving, None);
@@ -283,8 +288,8 @@
     let Some(Action::Import { from, to, label, .. }) = harness.actions.first().cloned() else {
         panic!("no import: {:?}", harness.actions);
     };
-    assert_eq!((from, to.clone(), label.count), (name("b"), name("x"), PROMPT));
-    let label = Label { count: label.count + extra, ..label };
+    assert_eq!((from, to.clone(), label.count), (name("b"), name("x"), PROMPT_TOKENS));
+    let label = Label { count: label.count + extra_tokens, ..label };
     if let Some(result) = result {
         harness.input(|m, ctx| m.on_import(ctx, &to, &label, result.as_ref().copied()));
     }
@@ -300,20 +305,20 @@
 fn silent_stage_is_replaced_within_a_second(steps: usize) {
     let mut harness = Harness::new(90, 60_000, BudgetSettings::default());
     harness.answer_steps(steps);
-    let silent = harness.now;
+    let silent_since = harness.now;
     harness.wait();
     assert!(harness.scope().is_some(), "{:?}", harness.actions);
     harness.replace(chain(&[("a", 0, 4), ("x", 4, 8), ("c", 8, 12)]), &[], 100);
     assert_eq!(harness.sent().1.label.attempt, 2);
     harness.answer_steps(3);
     assert!(matches!(harness.actions.first(), Some(Action::Emit(_))));
-    assert!(harness.now.since(silent) <= ms(1_000), "{:?}", harness.now.since(silent));
+    assert!(harness.now.since(silent_since) <= ms(1_000), "{:?}", harness.now.since(silent_since));
 }
 
 #[test]
 fn empty_budget_fails_immediately() {
-    let share = BudgetSettings { per_request: 0.1, per_second: 2.0, burst: 0.5 };
-    let mut harness = Harness::new(9, 60_000, share);
+    let budget_settings = BudgetSettings { per_request: 0.1, per_second: 2.0, burst: 0.5 };
+    let mut harness = Harness::new(9, 60_000, budget_settings);
     harness.fail(&Failure::Overloaded, None);
     let retry_after = Some(ms(250));
     let (code, effect) = (FailureCode::RetryBudget, Effect::NotRun);
@@ -330,13 +335,13 @@
 }
 
 #[test]
-fn long_retry_after_moves_the_request_and_is_kept() {
+fn endpoint_with_long_retry_after_is_replaced_and_stays_excluded() {
     let mut harness = Harness::new(9, 60_000, BudgetSettings::default());
     harness.fail(&Failure::Overloaded, Some(ms(5_000)));
     harness.wait();
     assert_eq!(harness.scope(), Some(Scope::Whole));
     harness.now = Instant::from_millis(4_900);
-    harness.replace(abc(), &[], 100);
+    harness.replace(three_stage_chain(), &[], 100);
     assert!(!harness.actions.iter().any(|action| matches!(action, Action::Send { .. })));
 }
 
@@ -360,7 +365,7 @@
 }
 
 #[test]
-fn backoff_is_spread_under_a_rising_bound() {
+fn backoff_is_random_below_an_exponential_bound() {
     let mut rng = Pcg64Mcg::new(3);
     for (retry, bound) in [(0, 20), (3, 160), (40, 1_000)] {
         let pauses: Vec<_> = (0..500).map(|_| backoff(retry, None, &mut rng)).collect();
@@ -371,30 +376,30 @@
 }
 
 /// Ratio of the tokens that engines run for 2,000 requests to those of a system
-/// without faults, when every request loses each of its stages with probability
-/// 1/3 in the middle of its completion and replacements come from the same
-/// endpoints.
-fn load_after_loss(share: BudgetSettings) -> f64 {
+/// without faults, when each step of the second decode position fails with
+/// probability 1/3. Each replacement has new endpoint names, so that none is
+/// excluded.
+fn load_after_loss(budget_settings: BudgetSettings) -> f64 {
     let mut rng = Pcg64Mcg::seed_from_u64(11);
-    let mut budget = Budget::new(share, Instant::ZERO);
+    let mut budget = Budget::new(budget_settings, Instant::ZERO);
     let (mut ran, mut baseline) = (0, 0);
     for request in 0..2_000 {
-        let mut harness = Harness::new(4, 60_000, share);
+        let mut harness = Harness::new(4, 60_000, budget_settings);
         budget.on_request(Instant::from_millis(request));
         harness.budget = budget.clone();
-        baseline += 3 * (PROMPT + 3);
+        baseline += 3 * (PROMPT_TOKENS + 3);
         harness.now = Instant::from_millis(request);
         while harness.outcome().is_none() {
             if harness.scope().is_some() {
-                let range = |at| format!("{at}{}", rng.random_range(0..9_999));
-                let [a, b, c] = ["a", "b", "c"].map(range);
+                let new_endpoint = |at| format!("{at}{}", rng.random_range(0..9_999));
+                let [a, b, c] = ["a", "b", "c"].map(new_endpoint);
                 harness.replace(chain(&[(&a, 0, 4), (&b, 4, 8), (&c, 8, 12)]), &[], 1);
             } else if !matches!(harness.actions.last(), Some(Action::Send { .. })) {
                 harness.wait();
             } else {
                 let label = harness.sent().1.label;
                 ran += label.count;
-                let lost = label.position == PROMPT + 1 && rng.random_bool(1.0 / 3.0);
+                let lost = label.position == PROMPT_TOKENS + 1 && rng.random_bool(1.0 / 3.0);
                 if lost { harness.fail(&Failure::Silent(ms(1)), None) } else { harness.answer() }
             }
         }
@@ -404,12 +409,15 @@
 }
 
 #[test]
-fn loss_of_a_third_multiplies_load_by_the_budget_at_most() {
-    let share = BudgetSettings { per_request: 0.2, per_second: 1.0, burst: 10.0 };
-    // The accumulated burst and two seconds of the minimum rate are added.
-    let bound = 1.0 + share.per_request + (share.burst + 2.0 * share.per_second) / 2_000.0;
-    let load = load_after_loss(share);
-    let unbounded = load_after_loss(BudgetSettings { burst: 1e9, ..share });
+fn retry_budget_bounds_load_when_many_stages_fail() {
+    let budget_settings = BudgetSettings { per_request: 0.2, per_second: 1.0, burst: 10.0 };
+    // The burst and two seconds of the constant rate, the duration of the test,
+    // are added.
+    let bound = 1.0
+        + budget_settings.per_request
+        + (budget_settings.burst + 2.0 * budget_settings.per_second) / 2_000.0;
+    let load = load_after_loss(budget_settings);
+    let unbounded = load_after_loss(BudgetSettings { burst: 1e9, ..budget_settings });
     eprintln!("load with budget {load:.3}, bound {bound:.3}, without budget {unbounded:.3}");
     assert!(load <= bound);
     assert!(unbounded > bound, "the test must be able to fail");
--- a/mimosashift/tests/posting.rs
+++ b/mimosashift/tests/posting.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn fault_schedules_reveal_a_shared_nonce() {
+fn simulation_detects_double_execution_with_a_shared_nonce() {
     let executed_twice: u64 =
         (0..50).map(|seed| posting_sim::run(seed, false).executed_twice).sum();
     assert!(executed_twice > 0);
@@ -183,9 +183,11 @@
 }
 
 #[test]
-fn batch_lost_answer_costs_one_more_write() {
+fn batch_with_unknown_outcome_is_confirmed_by_one_retry() {
     let members = members(64);
-    let Write::Put(key, value) = members[3].transaction.writes[0].clone() else { panic!() };
+    let Write::Put(key, value) = members[3].transaction.writes[0].clone() else {
+        panic!("a claim must be a put")
+    };
     let mut settled = batch(members).settle(Outcome::Unknown);
     assert!(settled.outcomes.is_empty());
     let own = Row { key, revision: 9, value };
@@ -230,21 +232,22 @@
 }
 
 /// One of 370 routers that share 300 writes a second, with its share of 1,000
-/// postings a second. Each posting takes two writes.
+/// postings a second. Each posting takes two writes, so one router has 540 of the
+/// 2,000 writes a second over 100 s.
 #[test]
 fn batches_grow_when_the_budget_is_short() {
     const ROUTERS: u32 = 370;
-    const RATE: u32 = 300;
-    const WRITES: u64 = 540;
+    const WRITES_PER_SECOND: u32 = 300;
+    const TOTAL_WRITES: u64 = 540;
     const SECONDS: u64 = 100;
-    let mut budget = Budget::new(RATE, ROUTERS, 4, NOW);
+    let mut budget = Budget::new(WRITES_PER_SECOND, ROUTERS, 4, NOW);
     let mut queue = Queue::default();
-    let mut waiting = members(WRITES as usize).into_iter();
+    let mut waiting = members(TOTAL_WRITES as usize).into_iter();
     let (mut commits, mut taken, mut longest) = (0, 0, Duration::ZERO);
     for ms in 0..(SECONDS + 2) * 1_000 {
         let now = Instant::from_millis(ms);
         if ms < SECONDS * 1_000
-            && ms * WRITES / (SECONDS * 1_000) != (ms + 1) * WRITES / (SECONDS * 1_000)
+            && ms * TOTAL_WRITES / (SECONDS * 1_000) != (ms + 1) * TOTAL_WRITES / (SECONDS * 1_000)
         {
             queue.push(waiting.next().unwrap(), now);
         }
@@ -255,14 +258,18 @@
         }
     }
     eprintln!("{commits} commits of {taken} writes, longest wait {longest:?}");
-    assert_eq!(taken as u64, WRITES);
-    assert!(commits <= (SECONDS + 2) * u64::from(RATE) / u64::from(ROUTERS) + 4, "{commits}");
-    let token = Duration::from_millis(1_000 * u64::from(ROUTERS) / u64::from(RATE));
-    assert!(longest <= token + Duration::from_millis(2), "{longest:?}");
+    assert_eq!(taken as u64, TOTAL_WRITES);
+    assert!(
+        commits <= (SECONDS + 2) * u64::from(WRITES_PER_SECOND) / u64::from(ROUTERS) + 4,
+        "{commits}"
+    );
+    let token_interval =
+        Duration::from_millis(1_000 * u64::from(ROUTERS) / u64::from(WRITES_PER_SECOND));
+    assert!(longest <= token_interval + Duration::from_millis(2), "{longest:?}");
 }
 
 #[test]
-fn table_outage_refuses_at_once() {
+fn table_outage_refuses_keyed_calls_only() {
     let request =
         |key| Request { key, nonce: Nonce(1), digest: Digest::new("", "", b""), unix_ms: 0 };
     let (mut keyed, _) = Machine::new(Settings::default(), request(Some(key("k"))), NOW);
@@ -349,24 +356,24 @@
 }
 
 #[test]
-fn budgets_of_370_routers_keep_the_platforms_rate() {
-    const RATE: u32 = 300;
+fn write_budgets_of_370_routers_stay_within_the_platform_limit() {
+    const WRITES_PER_SECOND: u32 = 300;
     const ROUTERS: u32 = 370;
     const SECONDS: u64 = 100;
-    let mut budgets = vec![Budget::new(RATE, ROUTERS, 4, NOW); ROUTERS as usize];
+    let mut budgets = vec![Budget::new(WRITES_PER_SECOND, ROUTERS, 4, NOW); ROUTERS as usize];
     let mut taken = 0;
     for ms in 0..SECONDS * 1_000 {
         let now = Instant::from_millis(ms);
         taken +=
             budgets.iter_mut().filter_map(|b| b.take(Class::Config, now).then_some(())).count();
     }
-    let bound = u64::from(RATE) * SECONDS + u64::from(4 * ROUTERS);
+    let bound = u64::from(WRITES_PER_SECOND) * SECONDS + u64::from(4 * ROUTERS);
     assert!(taken as u64 <= bound, "{taken} of {bound}");
     assert!(taken as u64 * 10 > bound * 9, "{taken} of {bound}");
 }
 
 #[test]
-fn cleanup_and_postings_leave_a_reserve() {
+fn cleanup_and_postings_leave_writes_for_config() {
     let mut budget = Budget::new(1, 1, 8, NOW);
     let mut count =
         |class| std::iter::repeat_with(|| budget.take(class, NOW)).take_while(|b| *b).count();
