--- a/mimosashift/src/config/audit.rs
+++ b/mimosashift/src/config/audit.rs
@@ -7,7 +7,7 @@
 use crate::resource::{Kind, Name};
 
 /// Maximum number of log pages read for one query.
-const MAX_PAGES: usize = 16;
+const MAX_LOG_PAGES_PER_QUERY: usize = 16;
 
 /// Selects the changes to return; an unset field matches every change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -34,7 +34,8 @@
     pub next: Option<u64>,
 }
 
-/// Reads the changes that match a filter, up to a limit.
+/// Reads the changes that match a filter, up to a limit or for at most
+/// `MAX_LOG_PAGES_PER_QUERY` log pages.
 #[derive(Debug)]
 pub struct Audit {
     filter: Filter,
@@ -77,7 +78,7 @@
         }
         self.pages_read += 1;
         let more = reached.filter(|_| page.more);
-        if self.pages_read == MAX_PAGES {
+        if self.pages_read == MAX_LOG_PAGES_PER_QUERY {
             self.result.next = more;
             return Ok(None);
         }
@@ -94,7 +95,7 @@
 
     fn on_response(&mut self, response: Response) -> Step<Self::Output> {
         let Response::Scan(outcome) = response else { unreachable!("Audit sends only scans") };
-        match row::read(outcome).and_then(|page| self.add_page(&page)) {
+        match row::read_result(outcome).and_then(|page| self.add_page(&page)) {
             Ok(Some(reached)) => Step::Call(row::scan_log(reached)),
             Ok(None) => Step::Done(Ok(std::mem::take(&mut self.result))),
             Err(error) => Step::Done(Err(error)),
--- a/mimosashift/src/config/call.rs
+++ b/mimosashift/src/config/call.rs
@@ -61,8 +61,8 @@
 pub fn execute(table: &dyn Table, call: &Call) -> Response {
     match call {
         Call::Read(key) => Response::Read(table.read(key)),
-        Call::Scan { table: name, prefix, after, limit } => {
-            Response::Scan(table.scan(name, prefix, after, *limit))
+        Call::Scan { table: table_name, prefix, after, limit } => {
+            Response::Scan(table.scan(table_name, prefix, after, *limit))
         }
         Call::Commit(transaction) => Response::Commit(table.commit(transaction)),
     }
--- a/mimosashift/src/config/catchup.rs
+++ b/mimosashift/src/config/catchup.rs
@@ -5,14 +5,15 @@
 use super::{Error, Record, State};
 use crate::platform::Page;
 
-/// The changes that the table holds on top of a given state.
+/// The state read from the table and the records that lead to it from an earlier
+/// state; a full load yields no records.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Progress {
     /// The state at the version in the row `head`.
     pub state: State,
     /// The records from the given state up to `state`, in order.
     pub records: Vec<Record>,
-    /// The row `head`, with its table revision.
+    /// The row `head`, with its table revision; set only by [`CatchUp`].
     pub(super) head: HeadRow,
 }
 
@@ -30,12 +31,15 @@
 
     fn on_head(&mut self, head: HeadRow) -> Result<Option<Call>, Error> {
         let installed = self.progress.state.version();
-        let table = head.version;
-        if table.revision < installed.revision {
-            return Err(Error::Stale { installed: installed.revision, table: table.revision });
+        let head_version = head.version;
+        if head_version.revision < installed.revision {
+            return Err(Error::Stale {
+                installed: installed.revision,
+                table: head_version.revision,
+            });
         }
-        if table.revision == installed.revision && table != installed {
-            return Err(Error::Diverged(table.revision));
+        if head_version.revision == installed.revision && head_version != installed {
+            return Err(Error::Diverged(head_version.revision));
         }
         self.progress.head = head;
         Ok(self.next_page())
@@ -79,10 +83,12 @@
 
     fn on_response(&mut self, response: Response) -> Step<Self::Output> {
         let next = match response {
-            Response::Read(outcome) => row::read(outcome)
+            Response::Read(outcome) => row::read_result(outcome)
                 .and_then(|row| row::decode_head(row.as_ref()))
                 .and_then(|head| self.on_head(head)),
-            Response::Scan(outcome) => row::read(outcome).and_then(|page| self.on_page(page)),
+            Response::Scan(outcome) => {
+                row::read_result(outcome).and_then(|page| self.on_page(page))
+            }
             Response::Commit(_) => unreachable!("CatchUp sends no commits"),
         };
         match next {
--- a/mimosashift/src/config/change.rs
+++ b/mimosashift/src/config/change.rs
@@ -14,10 +14,11 @@
 use crate::resource::{Kind, Name, Resource, Spec};
 
 /// Maximum number of transactions sent for one change.
-const MAX_ATTEMPTS: u32 = 8;
+const MAX_TRANSACTIONS: u32 = 8;
 
 /// Maximum size of a specification as JSON. A record holds the specification
-/// before and after the change and must fit into one frame between routers.
+/// before and after the change and must fit into one frame between routers, see
+/// [`MAX_STREAM_BYTES`](crate::wire::MAX_STREAM_BYTES).
 const MAX_SPEC_BYTES: usize = 64 * 1_024;
 
 /// Identifies a change across all attempts. A client may choose it, so that it
@@ -67,8 +68,8 @@
     /// Revision that the change created, or would create in a dry run.
     pub revision: u64,
     /// The records read and committed on top of the initial state, to install
-    /// and to push to peers. It ends before `revision` in a dry run and when an
-    /// earlier attempt had already made the change.
+    /// and to push to peers. They may end before `revision`: in a dry run, or
+    /// when the lookup finds an earlier attempt.
     pub progress: Progress,
 }
 
@@ -82,11 +83,12 @@
     change: Change,
     phase: Phase,
     /// What has been read so far; the next transaction builds on its state.
-    read: Progress,
+    read_progress: Progress,
     attempts: u32,
     /// Table revision of the row `head` checked by the last transaction.
     base_head_revision: u64,
-    /// Whether an earlier transaction may have taken effect or may still do so.
+    /// Whether a transaction sent for this change, by this or an earlier
+    /// attempt, may have taken effect or may still do so.
     in_doubt: bool,
     /// A read of the row `head` at this table revision or higher shows whether
     /// the last transaction took effect.
@@ -115,7 +117,7 @@
         Self {
             change,
             phase: Phase::Lookup,
-            read: Progress::from(installed),
+            read_progress: Progress::from(installed),
             attempts: 0,
             base_head_revision: 0,
             in_doubt: false,
@@ -127,12 +129,12 @@
     fn advance(&mut self, response: Response) -> StepResult {
         match (&mut self.phase, response) {
             (Phase::Lookup, Response::Read(outcome)) => {
-                let row = row::read(outcome)?;
+                let row = row::read_result(outcome)?;
                 self.on_lookup(row.as_ref())
             }
             (Phase::EarlierAttempt(revision), Response::Read(outcome)) => {
                 let revision = *revision;
-                self.on_earlier_attempt(revision, row::read(outcome)?.as_ref())
+                self.on_earlier_attempt(revision, row::read_result(outcome)?.as_ref())
             }
             (Phase::CatchUp(machine), response @ (Response::Read(_) | Response::Scan(_))) => {
                 match machine.on_response(response) {
@@ -163,11 +165,11 @@
             self.in_doubt = false;
             return Err(Error::ChangeIdReused(self.change.id));
         }
-        Ok(Step::Done(Committed { revision, progress: self.read.clone() }))
+        Ok(Step::Done(Committed { revision, progress: self.read_progress.clone() }))
     }
 
     fn catch_up(&mut self) -> Step<Committed> {
-        let mut machine = CatchUp::new(self.read.state.clone());
+        let mut machine = CatchUp::new(self.read_progress.state.clone());
         let Step::Call(call) = machine.start() else { unreachable!("CatchUp starts with a call") };
         self.phase = Phase::CatchUp(machine);
         Step::Call(call)
@@ -176,28 +178,31 @@
     fn on_caught_up(&mut self, progress: Progress) -> StepResult {
         let table_revision = progress.head.table_revision.unwrap_or_default();
         if table_revision < self.min_head_revision {
-            return Err(Error::StaleRead { seen: self.min_head_revision, read: table_revision });
+            return Err(Error::StaleRead {
+                expected_min: self.min_head_revision,
+                read: table_revision,
+            });
         }
-        self.read.state = progress.state;
-        self.read.records.extend(progress.records.iter().cloned());
+        self.read_progress.state = progress.state;
+        self.read_progress.records.extend(progress.records.iter().cloned());
         if let Some(own) = progress.records.iter().find(|record| record.id == self.change.id) {
             let revision = own.revision;
-            return Ok(Step::Done(Committed { revision, progress: self.read.clone() }));
+            return Ok(Step::Done(Committed { revision, progress: self.read_progress.clone() }));
         }
-        // The log contains no record of the in-doubt transaction, and the row
-        // `head` has moved on, so the transaction can no longer apply.
+        // If a transaction was in doubt, the row `head` has changed since and
+        // the log has no record of the transaction, so it can no longer apply.
         self.in_doubt = false;
         self.last_other_change =
             progress.records.into_iter().next_back().or(self.last_other_change.take());
         self.base_head_revision = table_revision;
-        if self.attempts == MAX_ATTEMPTS {
+        if self.attempts == MAX_TRANSACTIONS {
             return Err(self.contended());
         }
         self.check()?;
         let (transaction, record) = self.transaction(progress.head.table_revision)?;
         if self.change.dry_run {
             let revision = record.revision;
-            return Ok(Step::Done(Committed { revision, progress: self.read.clone() }));
+            return Ok(Step::Done(Committed { revision, progress: self.read_progress.clone() }));
         }
         self.phase = Phase::Commit { transaction, record };
         Ok(self.send())
@@ -217,12 +222,12 @@
                 let Phase::Commit { record, .. } = &self.phase else {
                     unreachable!("only the commit phase commits")
                 };
-                self.read.state = self.read.state.apply(record)?;
-                self.read.records.push(record.clone());
+                self.read_progress.state = self.read_progress.state.apply(record)?;
+                self.read_progress.records.push(record.clone());
                 let revision = record.revision;
-                Ok(Step::Done(Committed { revision, progress: self.read.clone() }))
+                Ok(Step::Done(Committed { revision, progress: self.read_progress.clone() }))
             }
-            Outcome::Unknown if self.attempts < MAX_ATTEMPTS => {
+            Outcome::Unknown if self.attempts < MAX_TRANSACTIONS => {
                 // Resends the same transaction; its checks let it apply only
                 // once.
                 self.in_doubt = true;
@@ -255,7 +260,7 @@
     /// state.
     fn check(&self) -> Result<(), Error> {
         let Change { kind, name, .. } = &self.change;
-        let snapshot = self.read.state.snapshot();
+        let snapshot = self.read_progress.state.snapshot();
         let found = snapshot.get(*kind, name).map(|resource| resource.revision);
         let holds = match self.change.precondition {
             Precondition::Any => found.is_some() || self.change.spec.is_some(),
@@ -280,10 +285,14 @@
 
     fn transaction(&self, head: Option<u64>) -> Result<(Transaction, Record), Error> {
         let Change { id, kind, name, spec, .. } = &self.change;
-        let before =
-            self.read.state.snapshot().get(*kind, name).map(|r| with_truncated_digests(&r.spec));
+        let before = self
+            .read_progress
+            .state
+            .snapshot()
+            .get(*kind, name)
+            .map(|r| with_truncated_digests(&r.spec));
         let mut record = Record {
-            revision: self.read.state.version().revision + 1,
+            revision: self.read_progress.state.version().revision + 1,
             lineage: 0,
             id: *id,
             operator: self.change.operator.clone(),
@@ -294,8 +303,8 @@
             before,
             after: spec.clone(),
         };
-        record.lineage = self.read.state.version_after(&record).lineage;
-        let next = self.read.state.apply(&record)?;
+        record.lineage = self.read_progress.state.version_after(&record).lineage;
+        let next = self.read_progress.state.apply(&record)?;
         let checks = vec![Check::Absent(row::change(*id)), head_check(head)];
         let writes = vec![
             self.resource_write(record.revision),
--- a/mimosashift/src/config/load.rs
+++ b/mimosashift/src/config/load.rs
@@ -8,7 +8,7 @@
 use crate::resource::{Resource, Snapshot};
 
 /// Maximum number of attempts when the rows read are inconsistent.
-const MAX_ATTEMPTS: u32 = 4;
+const MAX_LOAD_ATTEMPTS: u32 = 4;
 
 /// Reads the row `head`, all resources, and the records of changes made while
 /// the resources were read.
@@ -38,7 +38,7 @@
 }
 
 impl Load {
-    /// Rejects a table whose revision is lower than `min_revision`.
+    /// Rejects a table whose configuration revision is lower than `min_revision`.
     pub fn new(min_revision: u64) -> Self {
         Self {
             min_revision,
@@ -52,12 +52,16 @@
 
     fn advance(&mut self, response: Response) -> Result<Step<State>, Error> {
         match (self.phase, response) {
-            (Phase::HeadBefore, Response::Read(row)) => {
-                self.on_head_before(row::read(row)?.as_ref())
+            (Phase::HeadBefore, Response::Read(outcome)) => {
+                self.on_head_before(row::read_result(outcome)?.as_ref())
             }
-            (Phase::Resources, Response::Scan(page)) => self.on_resources(&row::read(page)?),
-            (Phase::HeadAfter, Response::Read(row)) => self.on_head_after(row::read(row)?.as_ref()),
-            (Phase::Log, Response::Scan(page)) => self.on_log(&row::read(page)?),
+            (Phase::Resources, Response::Scan(outcome)) => {
+                self.on_resources(&row::read_result(outcome)?)
+            }
+            (Phase::HeadAfter, Response::Read(outcome)) => {
+                self.on_head_after(row::read_result(outcome)?.as_ref())
+            }
+            (Phase::Log, Response::Scan(outcome)) => self.on_log(&row::read_result(outcome)?),
             (phase, response) => unreachable!("phase {phase:?} does not expect {response:?}"),
         }
     }
@@ -117,7 +121,7 @@
     }
 
     fn start_over(&mut self, error: Error) -> Result<Step<State>, Error> {
-        if self.attempts == MAX_ATTEMPTS {
+        if self.attempts == MAX_LOAD_ATTEMPTS {
             return Err(error);
         }
         self.attempts += 1;
--- a/mimosashift/src/config/mod.rs
+++ b/mimosashift/src/config/mod.rs
@@ -43,25 +43,26 @@
         InvalidRow { key: String, reason: String } {
             display("row {:?} of table `config`: {}", key, reason)
         }
-        /// The table is at a lower revision than the one installed: the read
-        /// was stale or the table was restored from a backup.
+        /// The row `head` holds a lower configuration revision than the one
+        /// installed: the read was stale or the table was restored from a backup.
         Stale { installed: u64, table: u64 } {
             display(
                 "table `config` answers revision {}, revision {} is installed: it lags or was restored",
                 table, installed
             )
         }
-        /// A read returned a row older than one that the table had reported in
-        /// a conflict.
-        StaleRead { seen: u64, read: u64 } {
-            display("row `head` reads at table revision {}, {} was seen before", read, seen)
+        /// A read of the row `head` returned a lower table revision than
+        /// required after a conflict or an unknown outcome.
+        StaleRead { expected_min: u64, read: u64 } {
+            display("row `head` reads at table revision {}, {} was seen before", read, expected_min)
         }
         /// A record is not the successor of the installed revision.
         Gap { installed: u64, next: u64 } {
             display("record {} does not follow revision {}", next, installed)
         }
-        /// The table has a different history than the installed one: it was
-        /// restored from a backup and changed afterwards.
+        /// The table, a peer or a record has a different history than the
+        /// installed configuration: the table was restored from a backup and
+        /// changed afterwards.
         Diverged(revision: u64) {
             display("revision {} has another history than the one installed", revision)
         }
@@ -85,7 +86,8 @@
         TooLarge { limit: usize } {
             display("the specification has more than {} bytes", limit)
         }
-        /// Every attempt lost to a concurrent change by another operator.
+        /// The change was not committed within the maximum number of
+        /// transactions because of concurrent changes.
         Contended { attempts: u32, last_operator: String, revision: u64 } {
             display(
                 "lost to other changes in {} tries, last to {:?} at revision {}",
--- a/mimosashift/src/config/phase.rs
+++ b/mimosashift/src/config/phase.rs
@@ -8,7 +8,8 @@
 use crate::resource::{Name, Snapshot};
 use crate::time::Instant;
 
-/// Time for which a starting router waits for heartbeats of its peers.
+/// Minimum time before a starting router serves, to receive heartbeats of its
+/// peers. The first poll starts earlier, see `FIRST_POLL_DELAY`.
 const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(2_500);
 
 /// The configuration of a router in one phase of its life cycle.
@@ -52,8 +53,9 @@
         Self { replicator: Box::new(Replicator::new(node)), phase: Starting { since: now } }
     }
 
-    /// Moves to the serving phase once the highest revision known to the
-    /// reachable peers and the table is installed; otherwise returns `self`.
+    /// Moves to the serving phase once peer discovery has ended, the highest
+    /// revision of `peers` is installed and one poll has finished; a failed poll
+    /// suffices if a configuration is installed. Otherwise returns `self`.
     pub fn serve(self, now: Instant, peers: &[Peer]) -> Result<Router<Serving>, Self> {
         match self.reason(now, peers) {
             Some(_) => Err(self),
--- a/mimosashift/src/config/record.rs
+++ b/mimosashift/src/config/record.rs
@@ -14,8 +14,8 @@
 
 /// An accepted change: a delta for routers and an entry of the audit trail.
 ///
-/// A record exists if and only if the change took effect, since both are
-/// written in the same transaction.
+/// A record exists if and only if the change took effect, since the record
+/// and the change to the resource are written in one transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Configuration revision created by the change.
--- a/mimosashift/src/config/replication.rs
+++ b/mimosashift/src/config/replication.rs
@@ -1,7 +1,8 @@
 //! Replicates accepted changes to every router.
 //!
 //! One router of each failure domain polls the table and pushes new records to
-//! its peers; a router that learns of a higher revision pulls it.
+//! the peers in its failure domain; a router that learns of a higher revision
+//! pulls it.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 use sha2::{Digest, Sha256};
 
 use super::catchup::Progress;
-use super::transfer::{Chunk, Received, Reply, ReplySource, Request, SnapshotReceiver};
+use super::transfer::{Chunk, ReceiveProgress, Reply, ReplyBuilder, Request, SnapshotReceiver};
 use super::{Error, Record, State, Store, Version};
 use crate::resource::Name;
 use crate::time::Instant;
@@ -18,14 +19,15 @@
 /// Time between two reads of the row `head` by the polling router.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Additional poll intervals without a poll in the failure domain, per rank,
-/// after which a router takes over polling.
+/// Poll intervals added per rank: a router of rank n polls once no router of its
+/// failure domain has polled for `1 + n * TAKEOVER_INTERVALS_PER_RANK` intervals.
 const TAKEOVER_INTERVALS_PER_RANK: u32 = 4;
 
 /// Divisor of the poll interval that gives the maximum jitter of a poll.
 const JITTER_DIVISOR: u32 = 4;
 
-/// Time that a starting router waits to hear from its peers before it polls.
+/// Time that a starting router waits for its peers before its first poll. It
+/// delays only the poll; `PEER_DISCOVERY_TIME` delays serving.
 const FIRST_POLL_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Time after which an unanswered or failed pull is retried.
@@ -68,18 +70,18 @@
 pub struct Replicator {
     node: Name,
     store: Store,
-    source: ReplySource,
+    source: ReplyBuilder,
     pull: Option<Pull>,
     /// When any router of the failure domain last read the row `head`.
-    domain_polled: Option<Instant>,
+    last_domain_poll_at: Option<Instant>,
     /// When this router last read the row `head`.
-    polled: Option<Instant>,
+    last_poll_at: Option<Instant>,
     /// Earliest time of the next poll, `None` before the first tick.
-    next_poll: Option<Instant>,
+    next_poll_at: Option<Instant>,
     polling: bool,
     /// Number of finished polls, including failed ones.
     polls: u64,
-    /// The last alarm, so that the same one is not raised again.
+    /// The last alarm, so that the same one is not raised twice in a row.
     alarm: Option<Error>,
 }
 
@@ -97,11 +99,11 @@
         Self {
             node,
             store: Store::default(),
-            source: ReplySource::default(),
+            source: ReplyBuilder::default(),
             pull: None,
-            domain_polled: None,
-            polled: None,
-            next_poll: None,
+            last_domain_poll_at: None,
+            last_poll_at: None,
+            next_poll_at: None,
             polling: false,
             polls: 0,
             alarm: None,
@@ -115,7 +117,7 @@
 
     /// When this router last read the row `head`.
     pub const fn polled(&self) -> Option<Instant> {
-        self.polled
+        self.last_poll_at
     }
 
     /// Number of finished polls, including failed ones.
@@ -128,7 +130,8 @@
         self.source.answer(&self.store, request)
     }
 
-    /// Starts a pull or a poll if one is due.
+    /// Processes the versions of the peers, drops a pull that has timed out, and
+    /// starts a pull and a poll if they are due.
     pub fn tick(&mut self, now: Instant, peers: &[Peer], rng: &mut Pcg64Mcg) -> Vec<Action> {
         let mut actions = Vec::new();
         for peer in peers {
@@ -153,8 +156,8 @@
         self.polls += 1;
         match result {
             Ok(progress) => {
-                self.polled = Some(now);
-                self.domain_polled = Some(now);
+                self.last_poll_at = Some(now);
+                self.last_domain_poll_at = Some(now);
                 self.install_progress(&progress, peers)
             }
             // The platform client reports its own failures; they raise no
@@ -165,7 +168,8 @@
     }
 
     /// Installs what this router has committed or read from the table, and
-    /// pushes the records to its peers.
+    /// pushes the records to the peers in its failure domain unless there are
+    /// more than `MAX_PUSH_RECORDS`.
     pub fn install_progress(&mut self, progress: &Progress, peers: &[Peer]) -> Vec<Action> {
         let before = self.store.version();
         let records = self.store.install_records(&progress.records);
@@ -174,7 +178,7 @@
             result.err().and_then(|e| self.raise_alarm(e)).into_iter().collect();
         if self.store.version() != before {
             self.source.retain(self.store.state().clone());
-            actions.extend(push(&progress.records, peers));
+            actions.extend(push_actions(&progress.records, peers));
         }
         actions
     }
@@ -189,7 +193,7 @@
 
     fn observe_peer(&mut self, peer: &Peer) -> Option<Action> {
         if peer.same_domain {
-            self.domain_polled = self.domain_polled.max(peer.polled);
+            self.last_domain_poll_at = self.last_domain_poll_at.max(peer.polled);
         }
         let own = self.store.version();
         let diverged = peer.version.revision == own.revision && peer.version != own;
@@ -223,28 +227,30 @@
     }
 
     fn poll_if_due(&mut self, now: Instant, peers: &[Peer], rng: &mut Pcg64Mcg) -> Option<Action> {
-        let next = *self.next_poll.get_or_insert(now + FIRST_POLL_DELAY);
+        let next = *self.next_poll_at.get_or_insert(now + FIRST_POLL_DELAY);
         // A snapshot pulled from a peer avoids a full load from the table.
         let loading = self.store.version().revision == 0 && self.pull.is_some();
         if self.polling || loading || now < next {
             return None;
         }
         let wait = POLL_INTERVAL * (1 + TAKEOVER_INTERVALS_PER_RANK * self.rank(peers));
-        let fresh = self.domain_polled.is_some_and(|polled| now.since(polled) < wait);
-        if fresh && self.polls > 0 {
+        let polled_recently =
+            self.last_domain_poll_at.is_some_and(|polled| now.since(polled) < wait);
+        if polled_recently && self.polls > 0 {
             return None;
         }
-        let most_jitter = (POLL_INTERVAL / JITTER_DIVISOR).as_micros();
-        let jitter = rng.random_range(0..u64::try_from(most_jitter).unwrap_or(u64::MAX));
-        self.next_poll = Some(now + wait + Duration::from_micros(jitter));
+        let max_jitter_us = (POLL_INTERVAL / JITTER_DIVISOR).as_micros();
+        let jitter = rng.random_range(0..u64::try_from(max_jitter_us).unwrap_or(u64::MAX));
+        self.next_poll_at = Some(now + wait + Duration::from_micros(jitter));
         self.polling = true;
         Some(Action::Poll(self.store.state().clone()))
     }
 
     /// Rank of this router within its failure domain, by rendezvous hash.
     fn rank(&self, peers: &[Peer]) -> u32 {
-        let own = rendezvous(&self.node);
-        let before = peers.iter().filter(|peer| peer.same_domain && rendezvous(&peer.node) > own);
+        let own = rendezvous_hash(&self.node);
+        let before =
+            peers.iter().filter(|peer| peer.same_domain && rendezvous_hash(&peer.node) > own);
         u32::try_from(before.count()).expect("there are fewer routers than 2^32")
     }
 
@@ -267,12 +273,12 @@
     fn on_chunk(&mut self, now: Instant, peer: &Name, chunk: Chunk) -> Option<Action> {
         let pull = self.pull.as_mut().filter(|pull| pull.peer == *peer)?;
         let result = match pull.receiver.add_chunk(chunk) {
-            Ok(Received::Partial(cursor)) => {
+            Ok(ReceiveProgress::Partial(cursor)) => {
                 pull.deadline = now + PULL_TIMEOUT;
                 let request = Request { have: self.store.version(), part: Some(cursor) };
                 return Some(Action::Pull(peer.clone(), request));
             }
-            Ok(Received::Complete(state)) => self.store.install(state),
+            Ok(ReceiveProgress::Complete(state)) => self.store.install(state),
             Err(error) => Err(error),
         };
         match result {
@@ -302,7 +308,7 @@
     }
 }
 
-fn push(records: &[Record], peers: &[Peer]) -> Vec<Action> {
+fn push_actions(records: &[Record], peers: &[Peer]) -> Vec<Action> {
     if records.is_empty() || records.len() > MAX_PUSH_RECORDS {
         return Vec::new();
     }
@@ -310,8 +316,8 @@
     targets.map(|peer| Action::Push(peer.node.clone(), records.to_vec())).collect()
 }
 
-/// Rendezvous hash of a router; the one with the highest in a failure domain
-/// polls.
-fn rendezvous(node: &Name) -> [u8; 32] {
+/// Rendezvous hash of a router; the router with the highest hash in a failure
+/// domain polls.
+fn rendezvous_hash(node: &Name) -> [u8; 32] {
     Sha256::new().chain_update("poll/").chain_update(node.as_str()).finalize().into()
 }
--- a/mimosashift/src/config/row.rs
+++ b/mimosashift/src/config/row.rs
@@ -24,7 +24,7 @@
 pub(super) const LOG_PREFIX: &str = "log/";
 
 /// Maximum number of rows in one page.
-pub(super) const PAGE_ROWS: usize = 500;
+pub(super) const MAX_PAGE_ROWS: usize = 500;
 
 /// The decoded row `head`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -57,7 +57,7 @@
         table: TABLE.to_owned(),
         prefix: RESOURCE_PREFIX.to_owned(),
         after: key.to_owned(),
-        limit: PAGE_ROWS,
+        limit: MAX_PAGE_ROWS,
     }
 }
 
@@ -67,7 +67,7 @@
         table: TABLE.to_owned(),
         prefix: LOG_PREFIX.to_owned(),
         after: log(revision).key,
-        limit: PAGE_ROWS,
+        limit: MAX_PAGE_ROWS,
     }
 }
 
@@ -85,12 +85,12 @@
 
 /// Encodes the value of a row.
 pub(super) fn encode<T: Serialize>(value: &T) -> String {
-    serde_json::to_string(value).expect("rows have only string keys")
+    serde_json::to_string(value).expect("the value is always serializable as JSON")
 }
 
 /// The result of a read. A read without a known outcome has no effect, so it
 /// counts as refused because the platform was unavailable.
-pub(super) fn read<T>(outcome: Outcome<T>) -> Result<T, Error> {
+pub(super) fn read_result<T>(outcome: Outcome<T>) -> Result<T, Error> {
     match outcome {
         Outcome::Done(value) => Ok(value),
         Outcome::NotDone(refusal) => Err(Error::Platform(refusal)),
--- a/mimosashift/src/config/state.rs
+++ b/mimosashift/src/config/state.rs
@@ -18,11 +18,11 @@
     /// Hash of the identifiers of all changes, in order.
     pub lineage: u64,
     /// Wrapping sum over all resources of a hash of kind, name and revision. It
-    /// shows whether a set of rows is complete.
+    /// shows whether a set of resources is the complete set of this version.
     pub checksum: u64,
 }
 
-/// The configuration at one version; clones share structure.
+/// The configuration at one version; clones share unchanged data.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
     version: Version,
@@ -55,7 +55,8 @@
 
     /// Returns this state with one change applied.
     ///
-    /// Fails if the record is not the successor of this state.
+    /// Fails if the record is not the successor of this state or belongs to a
+    /// different history.
     pub fn apply(&self, record: &Record) -> Result<Self, Error> {
         let version = self.version_after(record);
         if record.revision != version.revision {
@@ -84,7 +85,7 @@
 
 fn lineage_after(lineage: u64, id: u128) -> u64 {
     let hash = Sha256::new().chain_update(lineage.to_le_bytes()).chain_update(id.to_le_bytes());
-    first_bytes(hash)
+    first_u64(hash)
 }
 
 fn resource_hash(kind: Kind, name: &Name, revision: u64) -> u64 {
@@ -94,10 +95,10 @@
         .chain_update(name.as_str())
         .chain_update("@")
         .chain_update(revision.to_le_bytes());
-    first_bytes(hash)
+    first_u64(hash)
 }
 
-fn first_bytes(hash: Sha256) -> u64 {
+fn first_u64(hash: Sha256) -> u64 {
     let bytes = hash.finalize();
     let first = bytes.first_chunk().expect("a SHA-256 digest has more than 8 bytes");
     u64::from_le_bytes(*first)
--- a/mimosashift/src/config/store.rs
+++ b/mimosashift/src/config/store.rs
@@ -15,8 +15,9 @@
     log: VecDeque<Record>,
 }
 
-/// The revision to watch from is outside the log: the client must list the
-/// resources again and watch from `current`.
+/// The log does not reach back to the revision to watch from, or that revision
+/// is not installed yet: the client must list the resources again and watch from
+/// `current`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gone {
     /// The installed revision.
--- a/mimosashift/src/config/transfer.rs
+++ b/mimosashift/src/config/transfer.rs
@@ -7,15 +7,15 @@
 use super::{Error, Record, State, Store, Version};
 use crate::resource::{Kind, Name, Resource, Snapshot, Spec};
 
-/// Maximum estimated JSON size of the records or resources in one reply; the
-/// last entry may exceed it.
-const MAX_REPLY_BYTES: usize = 64 * 1_024;
+/// Estimated JSON size at which no more records or resources are added to a
+/// reply; the last entry may exceed it.
+const REPLY_TARGET_BYTES: usize = 64 * 1_024;
 
 /// Estimated JSON size of a record or resource without its specification.
 const ENTRY_OVERHEAD_BYTES: usize = 256;
 
 /// Number of recent states retained for snapshot transfers in progress.
-const RETAINED_STATES: usize = 16;
+const MAX_RETAINED_STATES: usize = 16;
 
 /// A request for configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -59,7 +59,7 @@
 
 /// Answers requests for configuration.
 #[derive(Debug, Default)]
-pub(super) struct ReplySource {
+pub(super) struct ReplyBuilder {
     /// Recently installed states, for transfers that started with them.
     recent: VecDeque<State>,
 }
@@ -71,11 +71,11 @@
     resources: Vec<Resource>,
 }
 
-impl ReplySource {
+impl ReplyBuilder {
     /// Retains a state that has just been installed.
     pub(super) fn retain(&mut self, state: State) {
         self.recent.push_back(state);
-        if self.recent.len() > RETAINED_STATES {
+        if self.recent.len() > MAX_RETAINED_STATES {
             self.recent.pop_front();
         }
     }
@@ -113,7 +113,7 @@
 impl SnapshotReceiver {
     /// Adds a chunk. Returns the position from which to request the next chunk,
     /// or the state once the snapshot is complete.
-    pub(super) fn add_chunk(&mut self, chunk: Chunk) -> Result<Received, Error> {
+    pub(super) fn add_chunk(&mut self, chunk: Chunk) -> Result<ReceiveProgress, Error> {
         if self.version != chunk.version {
             self.resources.clear();
             self.version = chunk.version;
@@ -121,16 +121,20 @@
         self.resources.extend(chunk.resources);
         if let Some(last) = self.resources.last().filter(|_| chunk.more) {
             let (kind, name) = (last.spec.kind(), last.name.clone());
-            return Ok(Received::Partial(SnapshotCursor { version: self.version, kind, name }));
+            return Ok(ReceiveProgress::Partial(SnapshotCursor {
+                version: self.version,
+                kind,
+                name,
+            }));
         }
         let resources = std::mem::take(&mut self.resources);
         let snapshot = Snapshot::new(self.version.revision, resources);
-        State::new(self.version, snapshot).map(Received::Complete)
+        State::new(self.version, snapshot).map(ReceiveProgress::Complete)
     }
 }
 
 /// Progress of a snapshot transfer after a chunk.
-pub(super) enum Received {
+pub(super) enum ReceiveProgress {
     /// More chunks must be requested from this position.
     Partial(SnapshotCursor),
     /// The snapshot is complete and matches its version.
@@ -146,7 +150,7 @@
     let mut taken = Vec::new();
     let mut bytes = 0;
     for entry in entries {
-        if bytes >= MAX_REPLY_BYTES {
+        if bytes >= REPLY_TARGET_BYTES {
             return (taken, true);
         }
         bytes += ENTRY_OVERHEAD_BYTES + size(entry);
--- a/mimosashift/src/order/dispatch.rs
+++ b/mimosashift/src/order/dispatch.rs
@@ -5,15 +5,17 @@
 use super::{Order, Target, lease::Lease};
 use crate::time::Instant;
 
-/// Minimum time after a send before a report counts as evidence that the order
-/// was not carried out; longer than the lag of reports and the longest load.
+/// Minimum time between the sending of an order and the request of a report that
+/// can cause a resend. It exceeds the delay of reports and the longest load.
 pub const MIN_REPEAT: Duration = Duration::from_secs(120);
 
 /// The outstanding orders for one endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OrderQueue {
+    /// Whether the endpoint checks fencing numbers.
     checks_fencing: bool,
-    observed: bool,
+    /// Whether the endpoint has reported since the queue was created.
+    report_received: bool,
     pending: Vec<PendingOrder>,
 }
 
@@ -27,7 +29,7 @@
     /// An empty queue; `checks_fencing` says whether the endpoint checks
     /// fencing numbers.
     pub const fn new(checks_fencing: bool) -> Self {
-        Self { checks_fencing, observed: false, pending: Vec::new() }
+        Self { checks_fencing, report_received: false, pending: Vec::new() }
     }
 
     /// Adds an order to reach `target`, unless one is already pending.
@@ -40,10 +42,10 @@
     /// Processes the report of the endpoint, requested at `asked_at`, on which
     /// targets it has reached.
     ///
-    /// An order is sent again only if a report requested at least `MIN_REPEAT`
-    /// after it shows that its target has not been reached.
+    /// An order is sent again only if a report requested at least
+    /// `MIN_REPEAT` after it shows that its target has not been reached.
     pub fn observe(&mut self, asked_at: Instant, reached: impl Fn(&Target) -> bool) {
-        self.observed = true;
+        self.report_received = true;
         self.pending.retain(|order| !reached(&order.target));
         for order in &mut self.pending {
             order.sent_at = order.sent_at.filter(|sent| asked_at < *sent + MIN_REPEAT);
@@ -53,7 +55,7 @@
     /// The next order to send, if `lease` permits one now. Returns `None` before
     /// the first report, since an earlier lease holder may have sent the order.
     pub fn next(&mut self, lease: &Lease, now: Instant) -> Option<Order> {
-        if !self.observed {
+        if !self.report_received {
             return None;
         }
         let number = lease.authorize(self.checks_fencing, now)?;
--- a/mimosashift/src/order/lease.rs
+++ b/mimosashift/src/order/lease.rs
@@ -1,8 +1,8 @@
 //! The lease that permits sending orders to one group of endpoints.
 //!
-//! A holder measures its lease from before it wrote the row; every other router
-//! measures from when it first observed that write. Clocks of different routers
-//! are never compared.
+//! The holder counts the lease duration from the start of its write; every other
+//! router counts it from its first observation of that write. Clocks of
+//! different routers are never compared.
 
 use std::time::Duration;
 
@@ -66,6 +66,7 @@
     base_revision: Option<u64>,
     number: FencingNumber,
     started_at: Instant,
+    /// When the leases of all earlier holders have certainly expired.
     exclusive_from: Instant,
     outcome_unknown: bool,
 }
@@ -75,6 +76,7 @@
     revision: u64,
     number: FencingNumber,
     started_at: Instant,
+    /// When the leases of all earlier holders have certainly expired.
     exclusive_from: Instant,
 }
 
@@ -85,14 +87,14 @@
 }
 
 impl Settings {
-    fn drift(&self) -> Duration {
+    fn max_drift(&self) -> Duration {
         self.duration * self.drift_ppm / 1_000_000
     }
 
     /// Time after the first observation of a write when its lease has certainly
     /// expired.
-    fn expiry(&self) -> Duration {
-        self.duration + self.drift()
+    fn expire_after(&self) -> Duration {
+        self.duration + self.max_drift()
     }
 
     /// Time after the start of a write when the holder renews the lease, early
@@ -103,12 +105,12 @@
 
     /// Time after the start of a write during which the holder may send.
     fn send_window(&self) -> Duration {
-        self.duration.saturating_sub(self.margin + self.drift())
+        self.duration.saturating_sub(self.margin + self.max_drift())
     }
 }
 
 impl Lease {
-    /// A lease on `group` that this router does not hold.
+    /// A lease on `group`, the key of its row, that this router does not hold.
     pub fn new(settings: Settings, group: &Name, holder: Name, incarnation: u64) -> Self {
         let key = Key { table: TABLE.to_owned(), key: group.to_string() };
         Self { settings, key, holder, incarnation, observed: None, pending: None, held: None }
@@ -142,7 +144,8 @@
         self.observed.as_ref().is_some_and(|observed| now >= observed.at + overdue_after)
     }
 
-    /// Processes the row as read; a row older than the one observed is ignored.
+    /// Processes the row as read. A missing or undecodable row is ignored, and so
+    /// is one that is not newer than the one observed.
     pub fn observe(&mut self, row: Option<&Row>, now: Instant) {
         let Some(row) = row else {
             return;
@@ -156,9 +159,9 @@
         }
     }
 
-    /// The write that renews the lease, repeats a write with an unknown outcome,
-    /// or takes the lease over if it has expired or its holder is `suspected`
-    /// to be dead.
+    /// The transaction that renews the lease, repeats a write with an unknown
+    /// outcome, or takes the lease over if it has expired or its holder is
+    /// `suspected` to be dead. Returns `None` if no write is due.
     pub fn write(&mut self, suspected: bool, now: Instant) -> Option<Transaction> {
         if self.pending.is_none() {
             self.pending = Some(self.next_write(suspected, now)?);
@@ -207,7 +210,7 @@
                 outcome_unknown: false,
             });
         };
-        let expires_at = observed.at + self.settings.expiry();
+        let expires_at = observed.at + self.settings.expire_after();
         (suspected || now >= expires_at).then_some(Pending {
             base_revision: Some(observed.revision),
             number: FencingNumber(observed.record.number.0 + 1),
@@ -250,7 +253,7 @@
             Some(revision) => Check::Revision(self.key.clone(), revision),
         };
         let value = serde_json::to_string(&self.record(pending.number))
-            .expect("a record has only string keys");
+            .expect("a lease record is always serializable as JSON");
         let write = Write::Put(self.key.clone(), value);
         Transaction { checks: vec![check], writes: vec![write] }
     }
--- a/mimosashift/src/order/mod.rs
+++ b/mimosashift/src/order/mod.rs
@@ -1,5 +1,5 @@
 //! Orders to endpoints: which router may send them, which layers to load, and
-//! when.
+//! when. Routers use only `lease`; the rest is used by benchmarks and tests.
 //!
 //! The design is described in `docs/design/orders.md`.
 
@@ -12,8 +12,9 @@
 pub mod pace;
 pub mod placement;
 
-/// Increases with every change of the lease holder. An endpoint that checks it
-/// refuses orders with a lower number than the highest it has received.
+/// Fencing token of a lease. It increases each time the lease is acquired, but
+/// not when it is renewed. An endpoint that checks it refuses orders with a lower
+/// number than the highest it has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingNumber(pub u64);
 
@@ -27,11 +28,12 @@
     Unload(ModelLayers),
     /// Load this adapter.
     Adapter(Name),
-    /// Serve in this role.
+    /// Serve in this role, such as `decode`.
     Role(Name),
 }
 
-/// An order as sent to an endpoint.
+/// An order sent under a lease; [`exchange::Order`](crate::exchange::Order) is
+/// the one that routers send to model engines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
     /// Fencing number of the lease under which it is sent.
--- a/mimosashift/src/order/pace.rs
+++ b/mimosashift/src/order/pace.rs
@@ -7,7 +7,7 @@
 /// Limits the number of concurrent loads and their total read rate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Pacer {
-    max_loads: u32,
+    max_concurrent_loads: u32,
     bytes_per_second: u64,
     loads: u32,
     /// When the weight store will have read everything ordered so far.
@@ -15,17 +15,20 @@
 }
 
 impl Pacer {
-    /// How long before the weight store becomes idle the next load may start.
-    const LEAD_TIME: Duration = Duration::from_secs(1);
+    /// A load may start if the weight store finishes the earlier reads within
+    /// this time.
+    const MAX_QUEUED_READ_TIME: Duration = Duration::from_secs(1);
 
     /// A pacer without running loads.
-    pub const fn new(max_loads: u32, bytes_per_second: u64) -> Self {
-        Self { max_loads, bytes_per_second, loads: 0, busy_until: Instant::ZERO }
+    pub const fn new(max_concurrent_loads: u32, bytes_per_second: u64) -> Self {
+        Self { max_concurrent_loads, bytes_per_second, loads: 0, busy_until: Instant::ZERO }
     }
 
     /// Admits a load of `bytes`, or returns `false` if it must wait.
     pub fn try_start(&mut self, bytes: u64, now: Instant) -> bool {
-        if self.loads >= self.max_loads || self.busy_until > now + Self::LEAD_TIME {
+        if self.loads >= self.max_concurrent_loads
+            || self.busy_until > now + Self::MAX_QUEUED_READ_TIME
+        {
             return false;
         }
         let micros = bytes.saturating_mul(1_000_000) / self.bytes_per_second.max(1);
--- a/mimosashift/src/order/placement.rs
+++ b/mimosashift/src/order/placement.rs
@@ -9,13 +9,13 @@
 /// When a lost copy is replaced on another endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Never: the copy returns with its endpoint.
+    /// Never; the copy is available again when its endpoint recovers.
     Wait,
     /// After every loss.
     EveryLoss,
-    /// When the live copies fall below this percentage of the copies wanted;
-    /// the generation threshold of Adam and Tewari, "Regeneration
-    /// with Virtual Copies for Replicated Databases".
+    /// When the live copies fall below this percentage of the wanted copies.
+    /// Adam and Tewari call this limit the generation threshold in
+    /// "Regeneration with Virtual Copies for Replicated Databases".
     Below(u8),
 }
 
@@ -65,8 +65,8 @@
 }
 
 impl Default for Policy {
-    /// Replaces nearly every loss when few copies are wanted, and few losses
-    /// when many are.
+    /// With fewer than 50 wanted copies every loss is replaced; with 50 or more,
+    /// up to 2 % of the copies may be missing.
     fn default() -> Self {
         Self::Below(98)
     }
@@ -75,13 +75,14 @@
 /// The indices of the ranges to copy next, those with the fewest live and
 /// loading copies first. An index appears once per copy, and each copy chosen
 /// counts as loading for the next choice.
-pub fn plan(policy: Policy, ranges: &[RangeCopies], max_loads: usize) -> SmallVec<[usize; 8]> {
+pub fn plan(policy: Policy, ranges: &[RangeCopies], max_new_loads: usize) -> SmallVec<[usize; 8]> {
     let mut ranges = SmallVec::<[RangeCopies; 16]>::from_slice(ranges);
     let mut chosen = SmallVec::new();
-    while chosen.len() < max_loads {
-        let short = ranges.iter().enumerate().filter(|(_, range)| range.missing(policy) > 0);
+    while chosen.len() < max_new_loads {
+        let below_threshold =
+            ranges.iter().enumerate().filter(|(_, range)| range.missing(policy) > 0);
         let Some((index, _)) =
-            short.min_by_key(|(_, range)| (range.live + range.loading, range.live))
+            below_threshold.min_by_key(|(_, range)| (range.live + range.loading, range.live))
         else {
             break;
         };
--- a/mimosashift/src/resource/check.rs
+++ b/mimosashift/src/resource/check.rs
@@ -3,7 +3,7 @@
 use super::{Engine, Error, Role, Spec, Team};
 
 /// Length of a SHA-256 digest in hexadecimal.
-const DIGEST_CHARS: usize = 64;
+const TOKEN_DIGEST_HEX_CHARS: usize = 64;
 
 /// Maximum number of layers of a model.
 const MAX_LAYERS: u16 = 1_024;
@@ -45,7 +45,7 @@
 fn check_team(team: &Team) -> Result<(), Error> {
     ensure(team.weight > 0, "weight", team.weight, "greater than 0")?;
     for digest in &team.token_digests {
-        let valid = digest.len() == DIGEST_CHARS
+        let valid = digest.len() == TOKEN_DIGEST_HEX_CHARS
             && digest.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
         ensure(valid, "token_digests", "(hidden)", "64 lower-case hexadecimal digits")?;
     }
--- a/mimosashift/src/resource/mod.rs
+++ b/mimosashift/src/resource/mod.rs
@@ -29,7 +29,7 @@
         Invalid { field: &'static str, value: String, rule: &'static str } {
             display("field {:?} has value {:?}, must be {}", field, value, rule)
         }
-        /// The body is not a specification of the given kind.
+        /// The JSON text is not a specification of the given kind.
         Malformed { kind: Kind, reason: String } {
             display("{} is malformed: {}", kind, reason)
         }
@@ -154,7 +154,7 @@
             Self::Endpoint(spec) => serde_json::to_value(spec),
             Self::Service(spec) => serde_json::to_value(spec),
         };
-        value.expect("a specification has only string keys")
+        value.expect("a specification is always serializable as JSON")
     }
 }
 
--- a/mimosashift/src/resource/snapshot.rs
+++ b/mimosashift/src/resource/snapshot.rs
@@ -18,8 +18,8 @@
 /// All resources as of one revision; immutable once installed.
 ///
 /// A request keeps the snapshot under which it was admitted, so a change never
-/// takes effect in the middle of a response. Snapshots share structure, see
-/// `docs/design/configuration.md`.
+/// takes effect in the middle of a response. Successive snapshots share
+/// unchanged data, see `docs/design/configuration.md`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(from = "SerializedSnapshot", into = "SerializedSnapshot")]
 pub struct Snapshot {
@@ -94,7 +94,7 @@
     /// The route for the model name used by callers; the first by route name if
     /// several declare it.
     pub fn route(&self, model: &str) -> Option<(&Name, &Route)> {
-        let ((found, name), ()) = self.models.first(|(m, _)| m.as_ref() < model)?;
+        let ((found, name), ()) = self.models.lower_bound(|(m, _)| m.as_ref() < model)?;
         if found.as_ref() != model {
             return None;
         }
@@ -107,7 +107,7 @@
     /// The team to which the token with this SHA-256 digest belongs; the first
     /// by name if several declare it.
     pub fn team_of_token(&self, digest: &Digest) -> Option<(&Name, &Team)> {
-        let ((found, name), ()) = self.tokens.first(|(d, _)| d < digest)?;
+        let ((found, name), ()) = self.tokens.lower_bound(|(d, _)| d < digest)?;
         if found != digest {
             return None;
         }
@@ -174,16 +174,18 @@
     pub fn check(&self, spec: &Spec) -> Result<(), Error> {
         match spec {
             Spec::Route(route) => {
-                self.require("pipeline", Kind::Pipeline, &route.pipeline)?;
-                route.teams.iter().try_for_each(|team| self.require("teams", Kind::Team, team))
+                self.require_exists("pipeline", Kind::Pipeline, &route.pipeline)?;
+                route
+                    .teams
+                    .iter()
+                    .try_for_each(|team| self.require_exists("teams", Kind::Team, team))
             }
-            Spec::Team(team) => self.require("priority", Kind::Priority, &team.priority),
+            Spec::Team(team) => self.require_exists("priority", Kind::Priority, &team.priority),
             Spec::Endpoint(endpoint) => match &endpoint.role {
-                Role::Service(service) => self.require("role", Kind::Service, service),
-                Role::Engine(engine) => engine
-                    .holds
-                    .iter()
-                    .try_for_each(|layers| self.require("holds", Kind::Pipeline, &layers.pipeline)),
+                Role::Service(service) => self.require_exists("role", Kind::Service, service),
+                Role::Engine(engine) => engine.holds.iter().try_for_each(|layers| {
+                    self.require_exists("holds", Kind::Pipeline, &layers.pipeline)
+                }),
             },
             Spec::Pipeline(_) | Spec::Priority(_) | Spec::Service(_) => Ok(()),
         }
@@ -229,7 +231,7 @@
         self.kinds[kind as usize].remove(name);
     }
 
-    fn require(&self, field: &'static str, kind: Kind, name: &Name) -> Result<(), Error> {
+    fn require_exists(&self, field: &'static str, kind: Kind, name: &Name) -> Result<(), Error> {
         if self.get(kind, name).is_some() {
             return Ok(());
         }
--- a/mimosashift/src/resource/sorted_map.rs
+++ b/mimosashift/src/resource/sorted_map.rs
@@ -1,4 +1,4 @@
-//! A sorted map whose clones share structure.
+//! A sorted map whose clones share unchanged chunks.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 /// A map sorted by key, stored as sorted chunks behind [`Arc`]s.
 ///
 /// A clone copies only the list of chunks, and a change copies one chunk, so
-/// successive snapshots of tens of thousands of resources share all but a few
-/// kilobytes.
+/// successive snapshots of tens of thousands of resources share all chunks
+/// but the changed one, a few kilobytes.
 #[derive(Clone, Debug)]
 pub(super) struct SortedMap<K, V> {
     /// Never holds an empty chunk.
@@ -33,9 +33,9 @@
         Some(&chunk[at].1)
     }
 
-    /// The first entry whose key does not satisfy `before`, which must hold for
-    /// a prefix of the keys.
-    pub(super) fn first(&self, before: impl Fn(&K) -> bool) -> Option<&(K, V)> {
+    /// The first entry whose key does not satisfy `before`, which must be true
+    /// for a prefix of the keys and false for the rest.
+    pub(super) fn lower_bound(&self, before: impl Fn(&K) -> bool) -> Option<&(K, V)> {
         let chunk = self.chunks.get(self.chunk_index(&before))?;
         chunk.get(chunk.partition_point(|(k, _)| before(k)))
     }
@@ -56,7 +56,8 @@
         match entries.binary_search_by(|(k, _)| k.cmp(&key)) {
             Ok(at) => entries[at].1 = value,
             Err(at) => {
-                // Spare capacity would add up over hundreds of chunks.
+                // Reserves exactly one entry: spare capacity in each of hundreds
+                // of chunks would waste memory.
                 entries.reserve_exact(1);
                 entries.insert(at, (key, value));
             }
--- a/mimosashift/src/resource/spec.rs
+++ b/mimosashift/src/resource/spec.rs
@@ -28,7 +28,8 @@
     pub max_tokens: u32,
 }
 
-/// A model: its layers and the version in service.
+/// A model served as a pipeline of stages: its layers and the version that new
+/// requests use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pipeline {
@@ -42,7 +43,7 @@
     /// Target number of live copies of every layer.
     #[serde(default = "default_copies")]
     pub copies: u16,
-    /// Bytes of activations passed between two stages per token.
+    /// Bytes of activations passed between two consecutive engines per token.
     #[serde(default = "default_hidden_bytes")]
     pub hidden_bytes: u32,
     /// Bytes of KV cache per layer and token.
@@ -101,7 +102,7 @@
     pub address: SocketAddr,
     /// Failure domain it runs in.
     pub domain: Name,
-    /// Role of the endpoint.
+    /// Whether it is a model engine or an instance of a service.
     pub role: Role,
 }
 
--- a/mimosashift/tests/config.rs
+++ b/mimosashift/tests/config.rs
@@ -25,6 +25,9 @@
     call::run(table, CatchUp::new(State::default())).unwrap().records
 }
 
+/// `Err(true)` means that the change is known not to have been applied,
+/// `Err(false)` that its outcome is unknown. Eight faults are as many as
+/// `MAX_TRANSACTIONS`.
 #[test_case(&[], Ok(1); "no fault")]
 #[test_case(&[Fault::LostAfterEffect], Ok(1); "response lost after commit")]
 #[test_case(&[Fault::LostBeforeEffect], Ok(1); "request lost before commit")]
@@ -91,11 +94,11 @@
             .collect();
         let committed = records(&table).pop().unwrap();
         assert_eq!(results.iter().filter(|r| **r == Ok(2)).count(), 1, "seed {seed}: {results:?}");
-        for lost in results.iter().filter(|r| r.is_err()) {
+        for rejected in results.iter().filter(|r| r.is_err()) {
             let Err(Error::Precondition { found: Some(2), changed_by: Some(changed_by), .. }) =
-                lost
+                rejected
             else {
-                panic!("seed {seed}: {lost:?}");
+                panic!("seed {seed}: {rejected:?}");
             };
             assert_eq!(*changed_by, committed.operator, "seed {seed}");
         }
@@ -222,11 +225,11 @@
                 Step::Done(state) => break state.unwrap(),
             }
         };
-        let reference = records(&table)
+        let expected = records(&table)
             .iter()
             .take(usize::try_from(state.version().revision).unwrap())
             .fold(State::default(), |state, record| state.apply(record).unwrap());
-        assert_eq!(state, reference, "seed {seed}");
+        assert_eq!(state, expected, "seed {seed}");
     }
 }
 
--- a/mimosashift/tests/order.rs
+++ b/mimosashift/tests/order.rs
@@ -14,6 +14,7 @@
 const SETTINGS: Settings = Settings {
     duration: Duration::from_secs(10),
     margin: Duration::from_secs(2),
+    // 10 % drift, so that a lease expires for other routers after 11 s.
     drift_ppm: 100_000,
 };
 
@@ -21,7 +22,7 @@
     Name::try_from(text).unwrap()
 }
 
-fn secs(seconds: u64) -> Instant {
+fn at_seconds(seconds: u64) -> Instant {
     Instant::from_millis(seconds * 1_000)
 }
 
@@ -29,100 +30,106 @@
     Lease::new(SETTINGS, &name("group"), name(holder), 1)
 }
 
-fn written(transaction: &Transaction, revision: u64) -> Row {
+fn written_row(transaction: &Transaction, revision: u64) -> Row {
     let Write::Put(key, value) = transaction.writes[0].clone() else { panic!("expected a put") };
     Row { key, revision, value }
 }
 
 /// A lease held by `a` since time 0, and its row.
-fn held() -> (Lease, Row) {
+fn held_lease() -> (Lease, Row) {
     let mut a = lease("a");
-    let write = a.write(false, secs(0)).unwrap();
-    a.on_write_result(&Outcome::Done(1), secs(3));
-    (a, written(&write, 1))
+    let write = a.write(false, at_seconds(0)).unwrap();
+    a.on_write_result(&Outcome::Done(1), at_seconds(3));
+    (a, written_row(&write, 1))
 }
 
 #[test]
 fn lease_time_starts_before_the_write() {
-    let (a, _) = held();
-    assert_eq!(a.authorize(true, secs(6)), Some(FencingNumber(1)));
-    assert_eq!(a.authorize(true, secs(7)), None);
+    let (a, _) = held_lease();
+    assert_eq!(a.authorize(true, at_seconds(6)), Some(FencingNumber(1)));
+    assert_eq!(a.authorize(true, at_seconds(7)), None);
 }
 
 /// Guards against routers taking over a lease that another one has just
 /// acquired, before the holder had time to renew it.
 #[test]
 fn holder_is_overdue_only_after_its_renewal() {
-    let (mut a, row) = held();
+    let (mut a, row) = held_lease();
     let mut b = lease("b");
-    assert!(!b.is_overdue(secs(100)), "no holder has been observed");
-    b.observe(Some(&row), secs(4));
-    assert!(!b.is_overdue(secs(8)));
-    let renewal = a.write(false, secs(3)).unwrap();
-    b.observe(Some(&written(&renewal, 2)), secs(8));
-    assert!(!b.is_overdue(secs(12)));
-    assert!(b.is_overdue(secs(13)));
+    assert!(!b.is_overdue(at_seconds(100)), "no holder has been observed");
+    b.observe(Some(&row), at_seconds(4));
+    assert!(!b.is_overdue(at_seconds(8)));
+    let renewal = a.write(false, at_seconds(3)).unwrap();
+    b.observe(Some(&written_row(&renewal, 2)), at_seconds(8));
+    assert!(!b.is_overdue(at_seconds(12)));
+    assert!(b.is_overdue(at_seconds(13)));
 }
 
 #[test]
-fn takeover_waits_for_endpoints_without_fencing() {
-    let (_, row) = held();
+fn orders_to_endpoints_without_fencing_wait_for_lease_expiry() {
+    let (_, row) = held_lease();
     let mut b = lease("b");
-    b.observe(Some(&row), secs(4));
-    assert_eq!(b.write(false, secs(14)), None, "the old lease may still be valid");
-    let write = b.write(true, secs(5)).unwrap();
+    b.observe(Some(&row), at_seconds(4));
+    assert_eq!(b.write(false, at_seconds(14)), None, "the old lease may still be valid");
+    let write = b.write(true, at_seconds(5)).unwrap();
     assert_eq!(write.checks, [Check::Revision(b.key().clone(), 1)]);
-    b.on_write_result(&Outcome::Done(2), secs(5));
-    assert_eq!(b.authorize(true, secs(6)), Some(FencingNumber(2)));
-    assert_eq!(b.authorize(false, secs(6)), None);
-    let renewal = b.write(false, secs(10)).unwrap();
+    b.on_write_result(&Outcome::Done(2), at_seconds(5));
+    assert_eq!(b.authorize(true, at_seconds(6)), Some(FencingNumber(2)));
+    assert_eq!(b.authorize(false, at_seconds(6)), None);
+    let renewal = b.write(false, at_seconds(10)).unwrap();
     assert_eq!(renewal.checks, [Check::Revision(b.key().clone(), 2)]);
-    b.on_write_result(&Outcome::Done(3), secs(10));
-    assert_eq!(b.authorize(false, secs(14)), None);
-    assert_eq!(b.authorize(false, secs(15)), Some(FencingNumber(2)));
+    b.on_write_result(&Outcome::Done(3), at_seconds(10));
+    assert_eq!(b.authorize(false, at_seconds(14)), None);
+    assert_eq!(b.authorize(false, at_seconds(15)), Some(FencingNumber(2)));
 }
 
 #[test]
 fn renewal_with_unknown_outcome_is_retried_and_recognized() {
-    let (mut a, _) = held();
-    let write = a.write(false, secs(4)).unwrap();
-    a.on_write_result(&Outcome::Unknown, secs(5));
-    assert_eq!(a.write(false, secs(6)).as_ref(), Some(&write));
-    let committed = written(&write, 2);
-    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(committed))), secs(6));
-    assert_eq!(a.authorize(true, secs(10)), Some(FencingNumber(1)));
-    assert_eq!(a.authorize(true, secs(11)), None, "the lease starts with the first write");
+    let (mut a, _) = held_lease();
+    let write = a.write(false, at_seconds(4)).unwrap();
+    a.on_write_result(&Outcome::Unknown, at_seconds(5));
+    assert_eq!(a.write(false, at_seconds(6)).as_ref(), Some(&write));
+    let committed = written_row(&write, 2);
+    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(committed))), at_seconds(6));
+    assert_eq!(a.authorize(true, at_seconds(10)), Some(FencingNumber(1)));
+    assert_eq!(a.authorize(true, at_seconds(11)), None, "the lease starts with the first write");
 }
 
 #[test]
 fn conflict_ends_the_lease() {
-    let (mut a, row) = held();
+    let (mut a, row) = held_lease();
     let mut b = lease("b");
-    b.observe(Some(&row), secs(1));
-    let takeover = written(&b.write(true, secs(1)).unwrap(), 2);
-    a.write(false, secs(4)).unwrap();
-    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(takeover))), secs(4));
-    assert_eq!(a.authorize(true, secs(4)), None);
+    b.observe(Some(&row), at_seconds(1));
+    let takeover = written_row(&b.write(true, at_seconds(1)).unwrap(), 2);
+    a.write(false, at_seconds(4)).unwrap();
+    a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(takeover))), at_seconds(4));
+    assert_eq!(a.authorize(true, at_seconds(4)), None);
 }
 
 #[test]
-fn order_is_resent_only_after_a_later_report() {
-    let (a, _) = held();
+fn order_is_resent_only_after_min_resend_delay() {
+    let (a, _) = held_lease();
     let mut queue = OrderQueue::new(true);
     queue.enqueue(Target::Role(name("decode")));
     queue.enqueue(Target::Role(name("decode")));
     assert_eq!(queue.len(), 1);
-    assert_eq!(queue.next(&a, secs(1)), None, "no report yet");
-    queue.observe(secs(0), |_| false);
-    let order = queue.next(&a, secs(1)).unwrap();
+    assert_eq!(queue.next(&a, at_seconds(1)), None, "no report yet");
+    queue.observe(at_seconds(0), |_| false);
+    let order = queue.next(&a, at_seconds(1)).unwrap();
     assert_eq!(order.number, FencingNumber(1));
-    assert_eq!(queue.next(&a, secs(2)), None);
-    queue.observe(secs(60), |_| false);
-    assert_eq!(queue.next(&a, secs(2)), None, "the report may predate the order");
-    queue.observe(secs(1) + MIN_REPEAT, |_| false);
-    assert_eq!(queue.next(&a, secs(8)), None, "the lease has expired");
-    assert!(queue.next(&a, secs(2)).is_some());
-    queue.observe(secs(3), |_| true);
+    assert_eq!(queue.next(&a, at_seconds(2)), None);
+    // The times of `next` check the lease and are independent of those of the
+    // reports.
+    queue.observe(at_seconds(60), |_| false);
+    assert_eq!(
+        queue.next(&a, at_seconds(2)),
+        None,
+        "the report was requested too soon after the send"
+    );
+    queue.observe(at_seconds(1) + MIN_REPEAT, |_| false);
+    assert_eq!(queue.next(&a, at_seconds(8)), None, "the lease has expired");
+    assert!(queue.next(&a, at_seconds(2)).is_some());
+    queue.observe(at_seconds(3), |_| true);
     assert!(queue.is_empty());
 }
 
@@ -130,15 +137,15 @@
 fn loads_stay_within_the_rate_of_the_weight_store() {
     let mut pacer = Pacer::new(4, 100);
     let started = (0..100).filter(|second| {
-        let starts = pacer.try_start(1_000, secs(*second));
+        let starts = pacer.try_start(1_000, at_seconds(*second));
         if starts {
             pacer.finish();
         }
         starts
     });
-    assert_eq!(started.count(), 11, "10 s each, the last one has just started");
+    assert_eq!(started.count(), 11, "each load reads for 10 s and may start 1 s early");
     let mut pacer = Pacer::new(2, 1_000_000);
-    assert_eq!((0..5).filter(|_| pacer.try_start(1, secs(0))).count(), 2);
+    assert_eq!((0..5).filter(|_| pacer.try_start(1, at_seconds(0))).count(), 2);
 }
 
 const fn range(wanted: u16, live: u16, loading: u16) -> RangeCopies {
