--- a/mimosashift/src/order/dispatch.rs
+++ b/mimosashift/src/order/dispatch.rs
@@ -7,7 +7,7 @@
 
 /// Minimum time between the sending of an order and the request of a report that
 /// can cause a resend. It exceeds the delay of reports and the longest load.
-pub const MIN_REPEAT: Duration = Duration::from_secs(120);
+pub const MIN_RESEND_DELAY: Duration = Duration::from_secs(120);
 
 /// The outstanding orders for one endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -43,12 +43,12 @@
     /// targets it has reached.
     ///
     /// An order is sent again only if a report requested at least
-    /// `MIN_REPEAT` after it shows that its target has not been reached.
+    /// `MIN_RESEND_DELAY` after it shows that its target has not been reached.
     pub fn observe(&mut self, asked_at: Instant, reached: impl Fn(&Target) -> bool) {
         self.report_received = true;
         self.pending.retain(|order| !reached(&order.target));
         for order in &mut self.pending {
-            order.sent_at = order.sent_at.filter(|sent| asked_at < *sent + MIN_REPEAT);
+            order.sent_at = order.sent_at.filter(|sent| asked_at < *sent + MIN_RESEND_DELAY);
         }
     }
 
--- a/mimosashift/tests/order.rs
+++ b/mimosashift/tests/order.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mimosashift::order::dispatch::{MIN_REPEAT, OrderQueue};
+use mimosashift::order::dispatch::{MIN_RESEND_DELAY, OrderQueue};
 use mimosashift::order::lease::{Lease, Settings};
 use mimosashift::order::pace::Pacer;
 use mimosashift::order::placement::{Candidate, Policy, RangeCopies, choose_endpoint, plan};
@@ -126,7 +126,7 @@
         None,
         "the report was requested too soon after the send"
     );
-    queue.observe(at_seconds(1) + MIN_REPEAT, |_| false);
+    queue.observe(at_seconds(1) + MIN_RESEND_DELAY, |_| false);
     assert_eq!(queue.next(&a, at_seconds(8)), None, "the lease has expired");
     assert!(queue.next(&a, at_seconds(2)).is_some());
     queue.observe(at_seconds(3), |_| true);
