--- a/mimosafront/src/placement.rs
+++ b/mimosafront/src/placement.rs
@@ -153,7 +153,7 @@
             peers.is_dead(holder.as_str(), now) || peers.has_lost_store(holder.as_str(), now)
         });
         let takeover = holder_is_inactive || lease.is_overdue(now);
-        if let Some(transaction) = lease.write(takeover, now) {
+        if let Some(transaction) = lease.next_transaction(takeover, now) {
             let outcome = state.store.commit(&transaction).await;
             record_store_call(&state, PlatformCall::Commit, &outcome);
             lease.on_write_result(&outcome, clock::now());
--- a/mimosashift/src/order/lease.rs
+++ b/mimosashift/src/order/lease.rs
@@ -116,7 +116,7 @@
         Self { settings, key, holder, incarnation, observed: None, pending: None, held: None }
     }
 
-    /// The row to read before [`write`](Self::write).
+    /// The row to read before [`next_transaction`](Self::next_transaction).
     pub const fn key(&self) -> &Key {
         &self.key
     }
@@ -162,7 +162,7 @@
     /// The transaction that renews the lease, repeats a write with an unknown
     /// outcome, or takes the lease over if it has expired or its holder is
     /// `suspected` to be dead. Returns `None` if no write is due.
-    pub fn write(&mut self, suspected: bool, now: Instant) -> Option<Transaction> {
+    pub fn next_transaction(&mut self, suspected: bool, now: Instant) -> Option<Transaction> {
         if self.pending.is_none() {
             self.pending = Some(self.next_write(suspected, now)?);
         }
--- a/mimosashift/tests/common/lease_world.rs
+++ b/mimosashift/tests/common/lease_world.rs
@@ -133,7 +133,7 @@
             }
             for suspected in [false, true] {
                 let mut next = self.clone();
-                let write = next.routers[index].lease.write(suspected, self.now);
+                let write = next.routers[index].lease.next_transaction(suspected, self.now);
                 let Some(write) = write else { continue };
                 if next.writes_left > 0 {
                     next.writes_left -= 1;
--- a/mimosashift/tests/order.rs
+++ b/mimosashift/tests/order.rs
@@ -38,7 +38,7 @@
 /// A lease held by `a` since time 0, and its row.
 fn held_lease() -> (Lease, Row) {
     let mut a = lease("a");
-    let write = a.write(false, at_seconds(0)).unwrap();
+    let write = a.next_transaction(false, at_seconds(0)).unwrap();
     a.on_write_result(&Outcome::Done(1), at_seconds(3));
     (a, written_row(&write, 1))
 }
@@ -59,7 +59,7 @@
     assert!(!b.is_overdue(at_seconds(100)), "no holder has been observed");
     b.observe(Some(&row), at_seconds(4));
     assert!(!b.is_overdue(at_seconds(8)));
-    let renewal = a.write(false, at_seconds(3)).unwrap();
+    let renewal = a.next_transaction(false, at_seconds(3)).unwrap();
     b.observe(Some(&written_row(&renewal, 2)), at_seconds(8));
     assert!(!b.is_overdue(at_seconds(12)));
     assert!(b.is_overdue(at_seconds(13)));
@@ -70,13 +70,13 @@
     let (_, row) = held_lease();
     let mut b = lease("b");
     b.observe(Some(&row), at_seconds(4));
-    assert_eq!(b.write(false, at_seconds(14)), None, "the old lease may still be valid");
-    let write = b.write(true, at_seconds(5)).unwrap();
+    assert_eq!(b.next_transaction(false, at_seconds(14)), None, "the old lease may still be valid");
+    let write = b.next_transaction(true, at_seconds(5)).unwrap();
     assert_eq!(write.checks, [Check::Revision(b.key().clone(), 1)]);
     b.on_write_result(&Outcome::Done(2), at_seconds(5));
     assert_eq!(b.authorize(true, at_seconds(6)), Some(FencingNumber(2)));
     assert_eq!(b.authorize(false, at_seconds(6)), None);
-    let renewal = b.write(false, at_seconds(10)).unwrap();
+    let renewal = b.next_transaction(false, at_seconds(10)).unwrap();
     assert_eq!(renewal.checks, [Check::Revision(b.key().clone(), 2)]);
     b.on_write_result(&Outcome::Done(3), at_seconds(10));
     assert_eq!(b.authorize(false, at_seconds(14)), None);
@@ -86,9 +86,9 @@
 #[test]
 fn renewal_with_unknown_outcome_is_retried_and_recognized() {
     let (mut a, _) = held_lease();
-    let write = a.write(false, at_seconds(4)).unwrap();
+    let write = a.next_transaction(false, at_seconds(4)).unwrap();
     a.on_write_result(&Outcome::Unknown, at_seconds(5));
-    assert_eq!(a.write(false, at_seconds(6)).as_ref(), Some(&write));
+    assert_eq!(a.next_transaction(false, at_seconds(6)).as_ref(), Some(&write));
     let committed = written_row(&write, 2);
     a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(committed))), at_seconds(6));
     assert_eq!(a.authorize(true, at_seconds(10)), Some(FencingNumber(1)));
@@ -100,8 +100,8 @@
     let (mut a, row) = held_lease();
     let mut b = lease("b");
     b.observe(Some(&row), at_seconds(1));
-    let takeover = written_row(&b.write(true, at_seconds(1)).unwrap(), 2);
-    a.write(false, at_seconds(4)).unwrap();
+    let takeover = written_row(&b.next_transaction(true, at_seconds(1)).unwrap(), 2);
+    a.next_transaction(false, at_seconds(4)).unwrap();
     a.on_write_result(&Outcome::NotDone(Refusal::Conflict(Some(takeover))), at_seconds(4));
     assert_eq!(a.authorize(true, at_seconds(4)), None);
 }
