--- a/mimosashift/src/config/phase.rs
+++ b/mimosashift/src/config/phase.rs
@@ -14,7 +14,7 @@
 
 /// The configuration of a router in one phase of its life cycle.
 #[derive(Debug)]
-pub struct Router<Phase> {
+pub struct RouterConfig<Phase> {
     replicator: Box<Replicator>,
     phase: Phase,
 }
@@ -47,7 +47,7 @@
     NoSource,
 }
 
-impl Router<Starting> {
+impl RouterConfig<Starting> {
     /// Starts without an installed configuration.
     pub fn new(node: Name, now: Instant) -> Self {
         Self { replicator: Box::new(Replicator::new(node)), phase: Starting { since: now } }
@@ -56,10 +56,10 @@
     /// Moves to the serving phase once peer discovery has ended, the highest
     /// revision of `peers` is installed and one poll has finished; a failed poll
     /// suffices if a configuration is installed. Otherwise returns `self`.
-    pub fn serve(self, now: Instant, peers: &[Peer]) -> Result<Router<Serving>, Self> {
+    pub fn serve(self, now: Instant, peers: &[Peer]) -> Result<RouterConfig<Serving>, Self> {
         match self.reason(now, peers) {
             Some(_) => Err(self),
-            None => Ok(Router { replicator: self.replicator, phase: Serving(()) }),
+            None => Ok(RouterConfig { replicator: self.replicator, phase: Serving(()) }),
         }
     }
 
@@ -81,14 +81,14 @@
     }
 }
 
-impl Router<Serving> {
+impl RouterConfig<Serving> {
     /// The snapshot to serve from.
     pub const fn snapshot(&self) -> &Snapshot {
         self.replicator.store().state().snapshot()
     }
 }
 
-impl<Phase> Router<Phase> {
+impl<Phase> RouterConfig<Phase> {
     /// The replicator of the configuration.
     pub const fn replicator(&self) -> &Replicator {
         &self.replicator
--- a/mimosashift/src/node/cluster/life.rs
+++ b/mimosashift/src/node/cluster/life.rs
@@ -1,7 +1,7 @@
 //! The configuration of a router in whichever phase it is.
 
 use crate::config::Replicator;
-use crate::config::phase::{NotServingReason, Router, Serving, Starting};
+use crate::config::phase::{NotServingReason, RouterConfig, Serving, Starting};
 use crate::config::replication::Peer;
 use crate::resource::Name;
 use crate::time::Instant;
@@ -10,14 +10,14 @@
 pub struct Life(Option<Phase>);
 
 enum Phase {
-    Starting(Router<Starting>),
-    Serving(Router<Serving>),
+    Starting(RouterConfig<Starting>),
+    Serving(RouterConfig<Serving>),
 }
 
 impl Life {
     /// Starts with nothing installed.
     pub fn new(node: Name, now: Instant) -> Self {
-        Self(Some(Phase::Starting(Router::new(node, now))))
+        Self(Some(Phase::Starting(RouterConfig::new(node, now))))
     }
 
     /// The exchange with the table and other routers.
--- a/mimosashift/tests/fake/cluster.rs
+++ b/mimosashift/tests/fake/cluster.rs
@@ -8,7 +8,7 @@
 use mimosashift::config::catchup::Progress;
 use mimosashift::config::change::Commit;
 use mimosashift::config::load::Load;
-use mimosashift::config::phase::{NotServingReason, Router, Serving, Starting};
+use mimosashift::config::phase::{NotServingReason, RouterConfig, Serving, Starting};
 use mimosashift::config::poll::Poll;
 use mimosashift::config::replication::{Action, Peer, Replicator};
 use mimosashift::config::transfer::Reply;
@@ -36,8 +36,8 @@
 
 /// Router in its starting or serving phase.
 pub enum Phase {
-    Starting(Router<Starting>),
-    Serving(Router<Serving>),
+    Starting(RouterConfig<Starting>),
+    Serving(RouterConfig<Serving>),
 }
 
 /// A simulated router.
@@ -130,7 +130,7 @@
         let seed_addresses: Vec<_> = (0..seeds).map(address).collect();
         Node {
             membership: Membership::new(own, &seed_addresses),
-            phase: Phase::Starting(Router::new(name, self.now)),
+            phase: Phase::Starting(RouterConfig::new(name, self.now)),
             up: true,
             paused: false,
             domain,
@@ -272,7 +272,7 @@
         {
             // Injected fault: an empty store replaces the installed one.
             let name = self.nodes[index].membership.identity().node.clone();
-            self.nodes[index].phase = Phase::Starting(Router::new(name, self.now));
+            self.nodes[index].phase = Phase::Starting(RouterConfig::new(name, self.now));
             let progress = Progress::from(state);
             self.nodes[index].replicator_mut().install_progress(&progress, &[]);
             return;
@@ -401,7 +401,7 @@
 
     fn try_serve(&mut self, now: Instant, peers: &[Peer]) {
         let name = self.membership.identity().node.clone();
-        let placeholder = Phase::Starting(Router::new(name, now));
+        let placeholder = Phase::Starting(RouterConfig::new(name, now));
         self.phase = match std::mem::replace(&mut self.phase, placeholder) {
             Phase::Starting(router) => match router.serve(now, peers) {
                 Ok(serving) => Phase::Serving(serving),
--- a/mimosashift/tests/spread.rs
+++ b/mimosashift/tests/spread.rs
@@ -8,7 +8,7 @@
 use fake::change;
 use fake::cluster::Cluster;
 use mimosashift::config::Error;
-use mimosashift::config::phase::{NotServingReason, Router};
+use mimosashift::config::phase::{NotServingReason, RouterConfig};
 use mimosashift::config::store::Gone;
 use mimosashift::resource::Kind;
 use rand::{RngExt, SeedableRng};
@@ -210,7 +210,7 @@
     cluster.run_until(1, Duration::from_secs(2)).unwrap();
     let peers = cluster.nodes[0].membership.peers(cluster.now);
     let node = cluster.nodes[0].membership.identity().node.clone();
-    let starting = Router::new(node, cluster.now);
+    let starting = RouterConfig::new(node, cluster.now);
     let later = cluster.now + START_TIME;
     let behind = NotServingReason::Behind { installed: 0, wanted: 1 };
     assert_eq!(starting.reason(later, &peers), Some(behind));
