--- a/mimosashift/src/config/phase.rs
+++ b/mimosashift/src/config/phase.rs
@@ -8,12 +8,13 @@
 use crate::resource::{Name, Snapshot};
 use crate::time::Instant;
 
-/// Time for which a starting router waits for heartbeats of its peers.
+/// Minimum time before a starting router serves, to receive heartbeats of its
+/// peers. The first poll starts earlier, see `FIRST_POLL_DELAY`.
 const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(2_500);
 
 /// The configuration of a router in one phase of its life cycle.
 #[derive(Debug)]
-pub struct Router<Phase> {
+pub struct RouterConfig<Phase> {
     replicator: Box<Replicator>,
     phase: Phase,
 }
@@ -46,18 +47,19 @@
     NoSource,
 }
 
-impl Router<Starting> {
+impl RouterConfig<Starting> {
     /// Starts without an installed configuration.
     pub fn new(node: Name, now: Instant) -> Self {
         Self { replicator: Box::new(Replicator::new(node)), phase: Starting { since: now } }
     }
 
-    /// Moves to the serving phase once the highest revision known to the
-    /// reachable peers and the table is installed; otherwise returns `self`.
-    pub fn serve(self, now: Instant, peers: &[Peer]) -> Result<Router<Serving>, Self> {
+    /// Moves to the serving phase once peer discovery has ended, the highest
+    /// revision of `peers` is installed and one poll has finished; a failed poll
+    /// suffices if a configuration is installed. Otherwise returns `self`.
+    pub fn serve(self, now: Instant, peers: &[Peer]) -> Result<RouterConfig<Serving>, Self> {
         match self.reason(now, peers) {
             Some(_) => Err(self),
-            None => Ok(Router { replicator: self.replicator, phase: Serving(()) }),
+            None => Ok(RouterConfig { replicator: self.replicator, phase: Serving(()) }),
         }
     }
 
@@ -79,14 +81,14 @@
     }
 }
 
-impl Router<Serving> {
+impl RouterConfig<Serving> {
     /// The snapshot to serve from.
     pub const fn snapshot(&self) -> &Snapshot {
         self.replicator.store().state().snapshot()
     }
 }
 
-impl<Phase> Router<Phase> {
+impl<Phase> RouterConfig<Phase> {
     /// The replicator of the configuration.
     pub const fn replicator(&self) -> &Replicator {
         &self.replicator
