--- a/mimosashift/src/http/client.rs
+++ b/mimosashift/src/http/client.rs
@@ -1,8 +1,8 @@
-//! Calls to endpoints and the platform.
+//! HTTP client for calls to endpoints and the platform.
 //!
-//! Connections are kept open per address. When one goes silent, every idle
-//! connection to that address is as suspect as it, so all are dropped
-//! together; see `docs/design/http.md`, "Silent connections".
+//! Connections are pooled per address. If a call on one of them fails, the
+//! idle connections to the same address may be broken as well, so all of them
+//! are dropped; see `docs/design/http.md`, "Silent connections".
 
 use std::collections::HashMap;
 use std::io;
@@ -19,59 +19,61 @@
 use ureq::unversioned::resolver::{ResolvedSocketAddrs, Resolver};
 use ureq::unversioned::transport::{DefaultConnector, NextTimeout};
 
-/// Bytes of each of a connection's two buffers; a head must fit into one.
+/// Size of a connection's input and output buffer each; the head of a message
+/// must fit into one.
 const BUFFER_BYTES: usize = 32 << 10;
 
 quick_error! {
-    /// Why a call has no answer.
+    /// Reason why a call got no response.
     #[derive(Clone, Debug, PartialEq, Eq)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Failure {
-        /// No connection was made: not one byte reached the other side.
+        /// The connection could not be set up; no byte of the call was sent.
         NotSent { address: SocketAddr, reason: String } {
             display("{} was not reached: {}", address, reason)
         }
-        /// The exchange broke or timed out after it may have been sent.
+        /// The call failed or timed out after it may have been sent.
         Lost { address: SocketAddr, waited: Duration, reason: String } {
             display("{} gave no answer after {} ms: {}", address, waited.as_millis(), reason)
         }
     }
 }
 
-/// Limits of the kept connections.
+/// Limits on calls and pooled connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Time to set up a connection. Default 250 ms.
+    /// Timeout for setting up a connection. Default 250 ms.
     pub connect_timeout: Duration,
-    /// Longest time that a connection lies unused. Default 5 s.
+    /// Time after which an idle connection is closed. Default 5 s.
     pub max_idle_age: Duration,
-    /// Idle connections kept per address. Default 64.
+    /// Maximum number of idle connections per address. Default 64.
     pub max_idle: usize,
-    /// Largest answer, in bytes. Default 16 MiB.
-    pub max_answer_bytes: u64,
+    /// Maximum size of a response body, in bytes. Default 16 MiB.
+    pub max_response_bytes: u64,
 }
 
-/// One call.
+/// One HTTP request.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
-    /// Where to.
+    /// Address of the server.
     pub address: SocketAddr,
     /// Method.
     pub method: Method,
     /// Path and query.
     pub path: &'a str,
-    /// Headers besides those of the transport.
+    /// Headers, except those that the client sets itself.
     pub headers: &'a [(&'a str, &'a str)],
     /// Body; empty for none.
     pub body: &'a [u8],
-    /// Time until the whole answer must be here.
+    /// Timeout for the whole exchange, response body included.
     pub timeout: Duration,
-    /// Whether to open a connection of its own, so that a broken old
-    /// connection cannot make it uncertain whether the call ran.
+    /// Whether to use a new connection instead of a pooled one. A pooled
+    /// connection may already be broken, and a failure on it leaves unknown
+    /// whether the call ran.
     pub fresh: bool,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// Status.
@@ -82,12 +84,13 @@
     pub body: Vec<u8>,
 }
 
-/// Keeps connections to endpoints and makes calls over them.
+/// Makes calls over pooled connections.
 pub struct Client {
     settings: Settings,
-    /// Makes calls on connections that are never reused.
+    /// Opens a connection per call and does not pool it.
     fresh: Agent,
-    kept: Mutex<HashMap<SocketAddr, Agent>>,
+    /// Pooled connections by address.
+    agents: Mutex<HashMap<SocketAddr, Agent>>,
 }
 
 impl Default for Settings {
@@ -96,13 +99,13 @@
             connect_timeout: Duration::from_millis(250),
             max_idle_age: Duration::from_secs(5),
             max_idle: 64,
-            max_answer_bytes: 16 << 20,
+            max_response_bytes: 16 << 20,
         }
     }
 }
 
 impl Answer {
-    /// The value of a header, if it is text.
+    /// The value of a header, if it is visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
@@ -112,17 +115,17 @@
     /// A client without connections.
     pub fn new(settings: Settings) -> Self {
         let fresh = agent(&settings, 0);
-        Self { settings, fresh, kept: Mutex::default() }
+        Self { settings, fresh, agents: Mutex::default() }
     }
 
-    /// Makes a call and reads the whole answer, whatever its status.
+    /// Makes a call and reads the complete response, whatever its status.
     pub fn call(&self, call: &Call<'_>) -> Result<Answer, Failure> {
         let start = Instant::now();
         let agent = if call.fresh { self.fresh.clone() } else { self.agent(call.address) };
-        let exchanged = self.exchange(&agent, call);
-        exchanged.map_err(|error| {
+        let result = self.exchange(&agent, call);
+        result.map_err(|error| {
             if !call.fresh {
-                self.retire(call.address);
+                self.drop_idle(call.address);
             }
             failure(call.address, start.elapsed(), &error)
         })
@@ -130,15 +133,16 @@
 
     /// Drops every idle connection to an address.
     ///
-    /// Calls in flight keep theirs until they end, and do not return it.
-    pub fn retire(&self, address: SocketAddr) {
-        self.kept.lock().expect("no holder of this lock panics").remove(&address);
+    /// Calls in flight keep their connections until they end and do not return
+    /// them to the pool.
+    pub fn drop_idle(&self, address: SocketAddr) {
+        self.agents.lock().expect("no holder of this lock panics").remove(&address);
     }
 
     fn agent(&self, address: SocketAddr) -> Agent {
-        let mut kept = self.kept.lock().expect("no holder of this lock panics");
+        let mut agents = self.agents.lock().expect("no holder of this lock panics");
         let new = || agent(&self.settings, self.settings.max_idle);
-        kept.entry(address).or_insert_with(new).clone()
+        agents.entry(address).or_insert_with(new).clone()
     }
 
     fn exchange(&self, agent: &Agent, call: &Call<'_>) -> Result<Answer, ureq::Error> {
@@ -147,9 +151,9 @@
         for (name, value) in call.headers {
             request = request.header(*name, *value);
         }
-        let bodiless = call.body.is_empty() && !expects_body(&call.method);
-        let limit = self.settings.max_answer_bytes;
-        let response = if bodiless {
+        let no_body = call.body.is_empty() && !expects_body(&call.method);
+        let limit = self.settings.max_response_bytes;
+        let response = if no_body {
             let request = agent.configure_request(request.body(())?);
             agent.run(request.timeout_global(Some(call.timeout)).build())?
         } else {
@@ -180,15 +184,15 @@
         .max_idle_connections_per_host(max_idle)
         .user_agent("mimosashift")
         .build();
-    Agent::with_parts(config, DefaultConnector::default(), Literal)
+    Agent::with_parts(config, DefaultConnector::default(), LiteralResolver)
 }
 
-/// Reads addresses where the default resolver would start a thread for each
-/// call to look a name up.
+/// Parses the host as an IP address and port; the default resolver would start
+/// a thread per call for the DNS lookup.
 #[derive(Debug)]
-struct Literal;
+struct LiteralResolver;
 
-impl Resolver for Literal {
+impl Resolver for LiteralResolver {
     fn resolve(
         &self,
         uri: &Uri,
@@ -205,14 +209,14 @@
 
 fn failure(address: SocketAddr, waited: Duration, error: &ureq::Error) -> Failure {
     let reason = error.to_string();
-    if never_sent(error) {
+    if is_not_sent(error) {
         return Failure::NotSent { address, reason };
     }
     Failure::Lost { address, waited, reason }
 }
 
-/// Whether the error can only come from before a connection existed.
-fn never_sent(error: &ureq::Error) -> bool {
+/// Whether the error can only occur before the connection is established.
+fn is_not_sent(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Io(error) => error.kind() == io::ErrorKind::ConnectionRefused,
         ureq::Error::Timeout(at) => matches!(at, ureq::Timeout::Connect | ureq::Timeout::Resolve),
--- a/mimosashift/src/http/completion.rs
+++ b/mimosashift/src/http/completion.rs
@@ -1,21 +1,22 @@
-//! The completions API as callers speak it.
+//! Requests and responses of the completions API.
 //!
-//! Only what routing needs is read; other fields are left to the engine's
-//! defaults, so that ordinary clients work unchanged. See `docs/API.md`.
+//! Only the fields that routing needs are read; others are ignored and the
+//! engine's defaults apply, so that existing clients work unchanged. See
+//! `docs/API.md`.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
 use crate::resource::Name;
 
-/// Tokens generated when the caller names no number.
+/// Maximum number of generated tokens if the request sets none.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
 /// Longest prompt, in tokens.
 const MAX_PROMPT_TOKENS: usize = 131_072;
 
 quick_error! {
-    /// Why a body is not a completion request.
+    /// Reason why a body is not a valid completion request.
     #[derive(Clone, Debug, PartialEq, Eq)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
@@ -30,29 +31,29 @@
     }
 }
 
-/// Which of the two completion calls is made.
+/// Kind of completion request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum CompletionKind {
     /// `/v1/completions`.
     Text,
     /// `/v1/chat/completions`.
     Chat,
 }
 
-/// A checked completion request.
+/// A validated completion request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// Which call it is.
-    pub form: Form,
-    /// The model as callers name it.
+    /// The API that was called.
+    pub kind: CompletionKind,
+    /// The model name in the request.
     pub model: String,
-    /// The adapter, if named.
+    /// The adapter, if any.
     pub adapter: Option<Name>,
     /// Prompt as token ids.
     pub prompt: Vec<u32>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Whether tokens are sent as they come.
+    /// Whether tokens are streamed as they are generated.
     pub stream: bool,
 }
 
@@ -101,68 +102,75 @@
     text: String,
 }
 
-/// Why an answer ended.
+/// Why generation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Reason {
-    /// The model ended it.
+pub enum FinishReason {
+    /// The model produced the stop token.
     Stop,
-    /// The number of tokens asked for was reached.
+    /// The maximum number of tokens was reached.
     Length,
 }
 
-/// Writes the parts of one answer.
+/// Encodes the response to one request, whole or as a stream.
 #[derive(Clone, Debug)]
 pub struct Writer {
-    form: Form,
+    kind: CompletionKind,
     id: String,
     model: String,
     created: u64,
 }
 
 impl Completion {
-    /// Reads the body of a completion call.
-    pub fn decode(form: Form, body: &[u8]) -> Result<Self, Error> {
+    /// Decodes and validates the body of a completion request.
+    pub fn decode(kind: CompletionKind, body: &[u8]) -> Result<Self, Error> {
         let wire: Wire =
             serde_json::from_slice(body).map_err(|e| Error::Malformed(e.to_string()))?;
         if wire.n.is_some_and(|n| n != 1) {
             return Err(Error::Invalid { field: "n", rule: "1" });
         }
-        let prompt = match (form, wire.prompt, wire.messages) {
-            (Form::Text, Some(Prompt::Text(text)), _) => encode_text(&text),
-            (Form::Text, Some(Prompt::Tokens(tokens)), _) => tokens,
-            (Form::Chat, _, Some(messages)) => encode_text(&chat_text(&messages)),
-            (Form::Text, None, _) => {
+        let prompt = match (kind, wire.prompt, wire.messages) {
+            (CompletionKind::Text, Some(Prompt::Text(text)), _) => encode_text(&text),
+            (CompletionKind::Text, Some(Prompt::Tokens(tokens)), _) => tokens,
+            (CompletionKind::Chat, _, Some(messages)) => encode_text(&chat_text(&messages)),
+            (CompletionKind::Text, None, _) => {
                 return Err(Error::Invalid { field: "prompt", rule: "a text or token ids" });
             }
-            (Form::Chat, _, None) => {
+            (CompletionKind::Chat, _, None) => {
                 return Err(Error::Invalid { field: "messages", rule: "a list of messages" });
             }
         };
         if prompt.is_empty() || prompt.len() > MAX_PROMPT_TOKENS {
             return Err(Error::Invalid { field: "prompt", rule: "1 to 131072 tokens" });
         }
-        let asked = wire.max_completion_tokens.or(wire.max_tokens);
-        let max_tokens = asked.unwrap_or(DEFAULT_MAX_TOKENS);
+        let requested = wire.max_completion_tokens.or(wire.max_tokens);
+        let max_tokens = requested.unwrap_or(DEFAULT_MAX_TOKENS);
         if max_tokens == 0 {
             return Err(Error::Invalid { field: "max_tokens", rule: "greater than 0" });
         }
         let (model, adapter, stream) = (wire.model, wire.adapter, wire.stream);
-        Ok(Self { form, model, adapter, prompt, max_tokens, stream })
+        Ok(Self { kind, model, adapter, prompt, max_tokens, stream })
     }
 }
 
 impl Writer {
-    /// A writer of the answer with the given id, model and Unix time.
-    pub fn new(form: Form, id: &str, model: &str, created: u64) -> Self {
-        Self { form, id: id.to_owned(), model: model.to_owned(), created }
+    /// A writer of a response with the given id, model and Unix time in seconds.
+    pub fn new(kind: CompletionKind, id: &str, model: &str, created: u64) -> Self {
+        Self { kind, id: id.to_owned(), model: model.to_owned(), created }
     }
 
-    /// The whole answer as JSON.
-    pub fn whole(&self, text: &str, reason: Reason, prompt: usize, tokens: usize) -> Vec<u8> {
-        let (object, choice) = match self.form {
-            Form::Text => ("text_completion", serde_json::json!({"text": text})),
-            Form::Chat => {
+    /// The complete response as JSON, with the numbers of prompt and completion
+    /// tokens.
+    pub fn full_response(
+        &self,
+        text: &str,
+        reason: FinishReason,
+        prompt: usize,
+        tokens: usize,
+    ) -> Vec<u8> {
+        let (object, choice) = match self.kind {
+            CompletionKind::Text => ("text_completion", serde_json::json!({"text": text})),
+            CompletionKind::Chat => {
                 let message = serde_json::json!({"role": "assistant", "content": text});
                 ("chat.completion", serde_json::json!({"message": message}))
             }
@@ -176,15 +184,15 @@
         body.to_string().into_bytes()
     }
 
-    /// One server-sent event with the next piece of text, or with the reason
-    /// why the answer ended.
-    pub fn event(&self, text: &str, reason: Option<Reason>) -> String {
-        let (object, choice) = match self.form {
-            Form::Text => ("text_completion", serde_json::json!({"text": text})),
-            Form::Chat if reason.is_some() => {
+    /// One server-sent event with the next chunk of text, or with the reason
+    /// why generation ended.
+    pub fn event(&self, text: &str, reason: Option<FinishReason>) -> String {
+        let (object, choice) = match self.kind {
+            CompletionKind::Text => ("text_completion", serde_json::json!({"text": text})),
+            CompletionKind::Chat if reason.is_some() => {
                 ("chat.completion.chunk", serde_json::json!({"delta": {}}))
             }
-            Form::Chat => {
+            CompletionKind::Chat => {
                 let delta = serde_json::json!({"role": "assistant", "content": text});
                 ("chat.completion.chunk", serde_json::json!({"delta": delta}))
             }
@@ -196,7 +204,7 @@
         &self,
         object: &str,
         mut choice: serde_json::Value,
-        reason: Option<Reason>,
+        reason: Option<FinishReason>,
     ) -> serde_json::Value {
         choice["index"] = 0.into();
         choice["finish_reason"] = serde_json::json!(reason);
@@ -212,13 +220,13 @@
 
 /// Token ids of a text: its bytes.
 ///
-/// Staged engines take token ids; `docs/ENGINE.md` says why bytes are the
-/// vocabulary until engines offer their own.
+/// Pipeline engines take token ids. `docs/ENGINE.md` explains why bytes serve
+/// as the vocabulary until engines provide their own.
 pub fn encode_text(text: &str) -> Vec<u32> {
     text.bytes().map(u32::from).collect()
 }
 
-/// Text of one token id; ids that are no ASCII byte become a replacement
+/// Text of one token id; ids other than ASCII bytes become the replacement
 /// character.
 pub fn decode_token(token: u32) -> char {
     match u8::try_from(token) {
--- a/mimosashift/src/http/mod.rs
+++ b/mimosashift/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP towards callers and operators.
+//! HTTP server for callers and operators, and HTTP client.
 //!
-//! A small asynchronous front owns the sockets; handlers are plain blocking
-//! functions on a [`pool`] of workers. `docs/design/http.md` says why `hyper`
-//! serves here and not `oxhttp`.
+//! One asynchronous thread does the socket I/O; handlers are blocking
+//! functions that run on a [`pool`] of worker threads. `docs/design/http.md`
+//! explains why the server uses `hyper` rather than `oxhttp`.
 
 pub mod client;
 pub mod completion;
@@ -10,4 +10,4 @@
 pub mod problem;
 mod server;
 
-pub use server::{Gone, Handler, Request, Responder, Server, Settings, Stream};
+pub use server::{Disconnected, Handler, Request, Responder, Server, Settings, Stream};
--- a/mimosashift/src/http/pool.rs
+++ b/mimosashift/src/http/pool.rs
@@ -6,16 +6,16 @@
 
 use crossbeam::channel::{Receiver, Sender, TrySendError, bounded};
 
-/// Work for one thread.
+/// A unit of work for one worker thread.
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Threads that are started as they are needed, up to a maximum.
+/// Worker threads that are started on demand, up to a maximum.
 #[derive(Clone)]
 pub struct Pool {
     shared: Arc<Shared>,
 }
 
-/// The pool has no free thread and its queue is full.
+/// All threads of the pool are busy and its queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full;
 
@@ -29,7 +29,7 @@
 }
 
 impl Pool {
-    /// A pool of up to `max_threads` threads and as many waiting jobs.
+    /// A pool of up to `max_threads` threads, with a queue of as many jobs.
     pub fn new(name: &'static str, max_threads: usize) -> Self {
         let (sender, receiver) = bounded(max_threads);
         let threads = AtomicUsize::new(0);
@@ -37,7 +37,7 @@
         Self { shared: Arc::new(Shared { name, max_threads, threads, pending, sender, receiver }) }
     }
 
-    /// Runs `job` on a worker, or refuses when every worker is busy and the
+    /// Queues `job` for a worker; fails when every worker is busy and the
     /// queue is full.
     pub fn run(&self, job: impl FnOnce() + Send + 'static) -> Result<(), Full> {
         let shared = &self.shared;
@@ -49,7 +49,7 @@
             return Err(Full);
         }
         if pending > shared.threads.load(Ordering::Acquire) {
-            self.grow();
+            self.spawn_worker();
         }
         Ok(())
     }
@@ -59,16 +59,16 @@
         self.shared.pending.load(Ordering::Acquire)
     }
 
-    fn grow(&self) {
+    fn spawn_worker(&self) {
         let shared = Arc::clone(&self.shared);
-        let claim = |n: usize| (n < shared.max_threads).then_some(n + 1);
-        if shared.threads.fetch_update(Ordering::AcqRel, Ordering::Acquire, claim).is_err() {
+        let increment = |n: usize| (n < shared.max_threads).then_some(n + 1);
+        if shared.threads.fetch_update(Ordering::AcqRel, Ordering::Acquire, increment).is_err() {
             return;
         }
         let worker = Arc::clone(&shared);
         let spawned = thread::Builder::new()
             .name(format!("{}-worker", shared.name))
-            .spawn(move || worker.work());
+            .spawn(move || worker.run_jobs());
         if spawned.is_err() {
             shared.threads.fetch_sub(1, Ordering::AcqRel);
         }
@@ -76,7 +76,7 @@
 }
 
 impl Shared {
-    fn work(&self) {
+    fn run_jobs(&self) {
         while let Ok(job) = self.receiver.recv() {
             job();
             self.pending.fetch_sub(1, Ordering::AcqRel);
--- a/mimosashift/src/http/problem.rs
+++ b/mimosashift/src/http/problem.rs
@@ -1,34 +1,34 @@
-//! Errors as callers and operators see them: `application/problem+json`.
+//! Error responses to callers and operators, as `application/problem+json`.
 
 use std::time::Duration;
 
 use hyper::StatusCode;
 use serde::Serialize;
 
-/// Whether the refused or failed work may have run.
+/// Whether the work of a refused or failed request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// Nothing ran; said only when it is certain.
+    /// Nothing ran; used only when this is certain.
     NotRun,
     /// It may or may not have run.
     Unknown,
-    /// It ran, or ran in part, and failed.
+    /// It ran at least in part and failed.
     Failed,
 }
 
-/// A refusal or failure with a stable code; see `docs/API.md`, "Errors".
+/// An error with a stable code; see `docs/API.md`, "Errors".
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// HTTP status.
     pub status: StatusCode,
     /// Stable code, for example `deadline-exceeded`.
     pub code: &'static str,
-    /// What happened, in a sentence.
+    /// Description of this occurrence.
     pub detail: String,
     /// Whether the work may have run.
     pub effect: Effect,
-    /// When trying again may help.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
@@ -46,7 +46,7 @@
     error: ErrorObject<'a>,
 }
 
-/// The member that clients of the completions API read.
+/// The `error` object that clients of the completions API expect.
 #[derive(Serialize)]
 struct ErrorObject<'a> {
     message: &'a str,
@@ -61,19 +61,19 @@
         Self { status, code, detail: detail.into(), effect: Effect::NotRun, retry_after: None }
     }
 
-    /// The same problem with another effect.
+    /// Replaces the effect.
     pub fn with_effect(mut self, effect: Effect) -> Self {
         self.effect = effect;
         self
     }
 
-    /// The same problem with a hint when to come back.
+    /// Sets the time after which a retry may succeed.
     pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// Whole seconds for the `Retry-After` header, rounded up.
+    /// Value of the `Retry-After` header: seconds, rounded up, at least 1.
     pub fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after.map(|after| after.as_millis().div_ceil(1_000).max(1) as u64)
     }
--- a/mimosashift/src/http/server.rs
+++ b/mimosashift/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The listening side: sockets, limits, timeouts and graceful shutdown.
+//! HTTP server: sockets, limits, timeouts and graceful shutdown.
 
 use std::error::Error;
 use std::fmt;
@@ -25,27 +25,27 @@
 use super::pool::Pool;
 use super::problem::{Effect, Problem};
 
-/// Chunks that may wait for a slow reader before its handler blocks.
-const STREAM_CHUNKS: usize = 64;
+/// Chunks buffered for a slow client before the handler blocks.
+const MAX_BUFFERED_CHUNKS: usize = 64;
 
-/// Time a client may read nothing before its stream is given up.
-const READER_STALL: Duration = Duration::from_secs(10);
+/// Time without reading after which a client counts as disconnected.
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Limits of one listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Requests handled at once; as many again may wait. Default 512.
+    /// Maximum number of concurrent requests; as many again may be queued. Default 512.
     pub max_requests: usize,
-    /// Largest request body, in bytes. Default 1 MiB.
+    /// Maximum size of a request body, in bytes. Default 1 MiB.
     pub max_body_bytes: usize,
-    /// Largest request head, in bytes; at least 8,192. Default 16 KiB.
+    /// Maximum size of a request head, in bytes; at least 8,192. Default 16 KiB.
     pub max_head_bytes: usize,
-    /// Time for a client to send a request's head, and again its body.
+    /// Timeout for reading a request's head, and the same again for its body.
     /// Default 10 s.
     pub read_timeout: Duration,
 }
 
-/// A request whose body has been read whole.
+/// A request with its complete body.
 #[derive(Debug)]
 pub struct Request {
     /// The method.
@@ -54,28 +54,29 @@
     pub uri: Uri,
     /// Headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Number of the connection it came over, rising from 0.
+    /// Number of the connection; connections are counted from 0.
     pub connection: u64,
 }
 
-/// Answers requests; called on a worker thread, may block.
+/// Handles requests on a worker thread; may block.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request through `responder`.
+    /// Handles one request and responds through `responder`.
     fn handle(&self, request: Request, responder: Responder);
 }
 
-/// The one answer to a request. Dropped unused, it answers with status 500.
+/// Sends the response to one request; responds with status 500 if dropped
+/// unused.
 pub struct Responder {
-    sender: oneshot::Sender<Result<Answer, Aborted>>,
+    sender: oneshot::Sender<Result<BoxResponse, Aborted>>,
     runtime: Handle,
 }
 
-/// Body of an answer that is sent piece by piece.
+/// Body of a response that is sent in chunks.
 ///
-/// Dropped without [`Stream::finish`], it breaks the connection, so that an
-/// answer cut short never looks whole.
+/// If dropped without [`Stream::finish`], it closes the connection before the
+/// end of the body, so that the client can detect the truncated response.
 pub struct Stream {
     sender: mpsc::Sender<io::Result<Bytes>>,
     runtime: Handle,
@@ -84,13 +85,13 @@
 
 /// The client has closed its connection or stopped reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone;
+pub struct Disconnected;
 
-/// A handler chose to close the connection.
+/// The handler closed the connection without a response.
 #[derive(Clone, Copy, Debug)]
 struct Aborted;
 
-/// A listening server; dropping it leaves it running.
+/// A listening server; it keeps running if this handle is dropped.
 pub struct Server {
     address: SocketAddr,
     pool: Pool,
@@ -99,9 +100,9 @@
 }
 
 type Body = BoxBody<Bytes, io::Error>;
-type Answer = Response<Body>;
+type BoxResponse = Response<Body>;
 
-struct Front {
+struct Acceptor {
     handler: Arc<dyn Handler>,
     pool: Pool,
     settings: Settings,
@@ -119,14 +120,14 @@
 }
 
 impl Request {
-    /// The value of a header, if it is there once and is text.
+    /// The value of a header, if it occurs exactly once and is visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut values = self.headers.get_all(name).iter();
         let first = values.next()?.to_str().ok()?;
         values.next().is_none().then_some(first)
     }
 
-    /// The value of a query parameter, as it stands in the URL.
+    /// The value of a query parameter, not percent-decoded.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         let query = self.uri.query()?;
         query.split('&').find_map(|pair| {
@@ -137,19 +138,19 @@
 }
 
 impl Responder {
-    /// Answers with a whole body.
+    /// Responds with a complete body.
     pub fn send(self, status: StatusCode, headers: &[(HeaderName, &str)], body: Vec<u8>) {
         let body = Full::new(Bytes::from(body)).map_err(|never| match never {}).boxed();
-        // A send fails only when the client has gone.
-        let _ = self.sender.send(Ok(answer(status, headers, body)));
+        // Fails only if the client has disconnected.
+        let _ = self.sender.send(Ok(response(status, headers, body)));
     }
 
-    /// Answers with JSON.
+    /// Responds with JSON.
     pub fn json(self, status: StatusCode, body: Vec<u8>) {
         self.send(status, &[(CONTENT_TYPE, "application/json")], body);
     }
 
-    /// Answers with a problem.
+    /// Responds with a problem.
     pub fn problem(self, problem: &Problem) {
         let kind = (CONTENT_TYPE, "application/problem+json");
         match problem.retry_after_seconds() {
@@ -161,15 +162,15 @@
         }
     }
 
-    /// Starts an answer that is sent piece by piece.
+    /// Starts a response that is sent in chunks.
     pub fn stream(self, headers: &[(HeaderName, &str)]) -> Stream {
-        let (sender, receiver) = mpsc::channel(STREAM_CHUNKS);
-        let body = Pieces { receiver, cut: None }.boxed();
-        let _ = self.sender.send(Ok(answer(StatusCode::OK, headers, body)));
+        let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+        let body = StreamBody { receiver, error: None }.boxed();
+        let _ = self.sender.send(Ok(response(StatusCode::OK, headers, body)));
         Stream { sender, runtime: self.runtime, finished: false }
     }
 
-    /// Closes the connection without an answer.
+    /// Closes the connection without a response.
     pub fn abort(self) {
         let _ = self.sender.send(Err(Aborted));
     }
@@ -181,8 +182,8 @@
 }
 
 impl Stream {
-    /// Sends the next piece; blocks while the client reads too slowly.
-    pub fn write(&mut self, chunk: impl Into<Bytes>) -> Result<(), Gone> {
+    /// Sends the next chunk; blocks while the client reads too slowly.
+    pub fn write(&mut self, chunk: impl Into<Bytes>) -> Result<(), Disconnected> {
         self.send(Ok(chunk.into()))
     }
 
@@ -191,19 +192,19 @@
         self.sender.is_closed()
     }
 
-    /// Ends the answer as whole.
+    /// Ends the response as complete.
     pub fn finish(mut self) {
         self.finished = true;
     }
 
-    fn send(&self, piece: io::Result<Bytes>) -> Result<(), Gone> {
-        let sent = self.sender.send_timeout(piece, READER_STALL);
-        self.runtime.block_on(sent).map_err(|_| Gone)
+    fn send(&self, chunk: io::Result<Bytes>) -> Result<(), Disconnected> {
+        let send = self.sender.send_timeout(chunk, CLIENT_STALL_TIMEOUT);
+        self.runtime.block_on(send).map_err(|_| Disconnected)
     }
 }
 
 impl Server {
-    /// Listens on `address`; port 0 takes any free port.
+    /// Listens on `address`; port 0 selects any free port.
     pub fn start(
         name: &'static str,
         address: SocketAddr,
@@ -214,16 +215,16 @@
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let pool = Pool::new(name, settings.max_requests);
-        let (shutdown, stopped) = watch::channel(None);
+        let (shutdown, shutdown_requests) = watch::channel(None);
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .thread_name(format!("{name}-front"))
             .enable_all()
             .build()?;
-        let front = Arc::new(Front { handler, pool: pool.clone(), settings });
+        let acceptor = Arc::new(Acceptor { handler, pool: pool.clone(), settings });
         let thread = thread::Builder::new()
             .name(format!("{name}-listen"))
-            .spawn(move || runtime.block_on(front.listen(listener, stopped)))?;
+            .spawn(move || runtime.block_on(acceptor.listen(listener, shutdown_requests)))?;
         Ok(Self { address, pool, shutdown, thread })
     }
 
@@ -232,25 +233,25 @@
         self.address
     }
 
-    /// Requests queued or being handled.
+    /// Number of requests queued or being handled.
     pub fn pending(&self) -> usize {
         self.pool.pending()
     }
 
-    /// Stops accepting, lets requests in flight finish for up to `limit`, and
-    /// returns how many were cut off.
+    /// Stops accepting connections, waits up to `limit` for requests in flight,
+    /// and returns how many were cut off.
     pub fn shutdown(self, limit: Duration) -> usize {
         let _ = self.shutdown.send(Some(limit));
-        self.thread.join().expect("the listening thread does not panic");
+        self.thread.join().expect("the listening thread panicked");
         self.pool.pending()
     }
 }
 
-impl Front {
+impl Acceptor {
     async fn listen(
         self: Arc<Self>,
         listener: TcpListener,
-        mut stopped: watch::Receiver<Option<Duration>>,
+        mut shutdown_requests: watch::Receiver<Option<Duration>>,
     ) {
         let listener =
             tokio::net::TcpListener::from_std(listener).expect("the runtime has I/O enabled");
@@ -264,27 +265,27 @@
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                () = shutdown_asked(&mut stopped) => break,
+                () = wait_for_shutdown(&mut shutdown_requests) => break,
             };
             let Ok((socket, _)) = accepted else {
-                // Out of file descriptors: wait until some are closed.
+                // Probably out of file descriptors: wait until some are closed.
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
             let _ = socket.set_nodelay(true);
-            let front = Arc::clone(&self);
+            let acceptor = Arc::clone(&self);
             let number = connections;
             connections += 1;
             let service = service_fn(move |request| {
-                let front = Arc::clone(&front);
-                async move { front.serve(number, request).await }
+                let acceptor = Arc::clone(&acceptor);
+                async move { acceptor.serve(number, request).await }
             });
             let connection = builder.serve_connection(TokioIo::new(socket), service);
             tokio::spawn(graceful.watch(connection));
         }
         drop(listener);
-        let limit = stopped.borrow().unwrap_or_default();
-        // Requests that are not done by then are cut off with the runtime.
+        let limit = shutdown_requests.borrow().unwrap_or_default();
+        // Requests still in flight after that end with the runtime.
         let _ = tokio::time::timeout(limit, graceful.shutdown()).await;
     }
 
@@ -292,12 +293,12 @@
         &self,
         connection: u64,
         request: hyper::Request<Incoming>,
-    ) -> Result<Answer, Aborted> {
+    ) -> Result<BoxResponse, Aborted> {
         let (head, body) = request.into_parts();
         let collected = Limited::new(body, self.settings.max_body_bytes).collect();
         let body = match tokio::time::timeout(self.settings.read_timeout, collected).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(error)) => return Ok(body_refused(&*error)),
+            Ok(Err(error)) => return Ok(body_error(&*error)),
             Err(_) => {
                 let detail = "the request body did not arrive in time";
                 let status = StatusCode::REQUEST_TIMEOUT;
@@ -312,26 +313,27 @@
         let job = move || handler.handle(request, Responder { sender, runtime });
         if self.pool.run(job).is_err() {
             let detail = "every worker is busy and the queue is full";
-            let full = Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "queue-full", detail);
-            return Ok(problem(&full.with_retry_after(Duration::from_secs(1))));
+            let queue_full =
+                Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "queue-full", detail);
+            return Ok(problem(&queue_full.with_retry_after(Duration::from_secs(1))));
         }
         match receiver.await {
-            Ok(answered) => answered,
+            Ok(result) => result,
             Err(_) => {
                 let detail = "the request was given up without an answer";
                 let status = StatusCode::INTERNAL_SERVER_ERROR;
-                let unknown =
+                let no_response =
                     Problem::not_run(status, "internal", detail).with_effect(Effect::Unknown);
-                Ok(problem(&unknown))
+                Ok(problem(&no_response))
             }
         }
     }
 }
 
-/// Waits until the shutdown is asked for; for ever when the [`Server`] that
-/// could ask was dropped.
-async fn shutdown_asked(stopped: &mut watch::Receiver<Option<Duration>>) {
-    if stopped.wait_for(Option::is_some).await.is_err() {
+/// Waits until shutdown is requested; never returns if the [`Server`] was
+/// dropped without a request.
+async fn wait_for_shutdown(shutdown_requests: &mut watch::Receiver<Option<Duration>>) {
+    if shutdown_requests.wait_for(Option::is_some).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
@@ -347,13 +349,13 @@
 impl Drop for Stream {
     fn drop(&mut self) {
         if !self.finished {
-            let cut = io::Error::new(io::ErrorKind::BrokenPipe, "answer cut short");
-            let _ = self.send(Err(cut));
+            let error = io::Error::new(io::ErrorKind::BrokenPipe, "response truncated");
+            let _ = self.send(Err(error));
         }
     }
 }
 
-fn body_refused(error: &(dyn Error + 'static)) -> Answer {
+fn body_error(error: &(dyn Error + 'static)) -> BoxResponse {
     if error.is::<http_body_util::LengthLimitError>() {
         let status = StatusCode::PAYLOAD_TOO_LARGE;
         return problem(&Problem::not_run(status, "body-too-large", "the body is too large"));
@@ -362,32 +364,32 @@
     problem(&Problem::not_run(StatusCode::BAD_REQUEST, "body-unreadable", detail))
 }
 
-fn problem(problem: &Problem) -> Answer {
+fn problem(problem: &Problem) -> BoxResponse {
     let (sender, mut receiver) = oneshot::channel();
     Responder { sender, runtime: Handle::current() }.problem(problem);
-    let answered = receiver.try_recv().expect("a responder answers before it returns");
-    answered.expect("a problem is an answer")
+    let result = receiver.try_recv().expect("a responder sends its response before it returns");
+    result.expect("a problem does not abort the connection")
 }
 
-fn answer(status: StatusCode, headers: &[(HeaderName, &str)], body: Body) -> Answer {
-    let mut answer = Response::new(body);
-    *answer.status_mut() = status;
+fn response(status: StatusCode, headers: &[(HeaderName, &str)], body: Body) -> BoxResponse {
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
     for (name, value) in headers {
         if let Ok(value) = HeaderValue::from_str(value) {
-            answer.headers_mut().insert(name.clone(), value);
+            response.headers_mut().insert(name.clone(), value);
         }
     }
-    answer
+    response
 }
 
-/// A body fed by a [`Stream`].
-struct Pieces {
+/// The receiving side of a [`Stream`], as a body for `hyper`.
+struct StreamBody {
     receiver: mpsc::Receiver<io::Result<Bytes>>,
-    /// Why the answer is cut short, until the connection has been told.
-    cut: Option<io::Error>,
+    /// Error that truncates the response, until `hyper` has polled it.
+    error: Option<io::Error>,
 }
 
-impl hyper::body::Body for Pieces {
+impl hyper::body::Body for StreamBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -395,17 +397,18 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        if let Some(cut) = self.cut.take() {
-            return Poll::Ready(Some(Err(cut)));
+        if let Some(error) = self.error.take() {
+            return Poll::Ready(Some(Err(error)));
         }
         match self.receiver.poll_recv(context) {
-            Poll::Ready(Some(Err(cut))) => {
-                // An error drops what is buffered; a pause lets it be sent.
-                self.cut = Some(cut);
+            Poll::Ready(Some(Err(error))) => {
+                // `hyper` drops buffered chunks on an error; returning pending once
+                // makes it flush them first.
+                self.error = Some(error);
                 context.waker().wake_by_ref();
                 Poll::Pending
             }
-            polled => polled.map(|piece| piece.map(|bytes| bytes.map(Frame::data))),
+            poll => poll.map(|chunk| chunk.map(|bytes| bytes.map(Frame::data))),
         }
     }
 }
--- a/mimosashift/src/node/callers.rs
+++ b/mimosashift/src/node/callers.rs
@@ -16,7 +16,7 @@
 use crate::emit;
 use crate::engine::RequestId;
 use crate::event::Event;
-use crate::http::completion::{Completion, Form, Writer};
+use crate::http::completion::{Completion, CompletionKind, Writer};
 use crate::http::problem::Problem;
 use crate::http::{Handler, Request, Responder};
 use crate::meter;
@@ -55,9 +55,11 @@
         }
         match (&request.method, path) {
             (&Method::GET, "/v1/models") => self.models(&request, responder),
-            (&Method::POST, "/v1/completions") => self.complete(Form::Text, request, responder),
+            (&Method::POST, "/v1/completions") => {
+                self.complete(CompletionKind::Text, request, responder)
+            }
             (&Method::POST, "/v1/chat/completions") => {
-                self.complete(Form::Chat, request, responder);
+                self.complete(CompletionKind::Chat, request, responder);
             }
             (_, path) if path.starts_with("/services/") => self.service(&request, responder),
             (_, path) => {
@@ -93,10 +95,10 @@
         responder.json(StatusCode::OK, body.to_string().into_bytes());
     }
 
-    fn complete(&self, form: Form, request: Request, responder: Responder) {
+    fn complete(&self, kind: CompletionKind, request: Request, responder: Responder) {
         self.0.drain.note_arrival();
         let installed = self.0.installed();
-        let asked = match check(form, &request, &installed) {
+        let asked = match check(kind, &request, &installed) {
             Ok(asked) => asked,
             Err(problem) => {
                 self.note_refusal(problem.code);
@@ -125,7 +127,7 @@
         let job = Job { pipeline: &asked.route.pipeline, version: asked.version, request };
         let created = node.clock.unix_ms() / 1_000;
         let writer =
-            Writer::new(completion.form, &format!("cmpl-{id}"), &completion.model, created);
+            Writer::new(completion.kind, &format!("cmpl-{id}"), &completion.model, created);
         let mut answer = Sink::new(&node.meter, responder, writer, completion.stream);
         let mut permit = match self.admit(installed, &job, &asked, &answer) {
             Ok(permit) => permit,
@@ -231,13 +233,13 @@
 }
 
 fn check<'a>(
-    form: Form,
+    kind: CompletionKind,
     request: &Request,
     installed: &'a Installed,
 ) -> Result<Asked<'a>, Problem> {
     let snapshot = installed.snapshot();
     let (name, team) = auth::team(request, snapshot)?;
-    let completion = Completion::decode(form, &request.body)
+    let completion = Completion::decode(kind, &request.body)
         .map_err(|e| Problem::not_run(StatusCode::BAD_REQUEST, "invalid", e.to_string()))?;
     let missing = || {
         let detail = format!("model {:?} does not exist", completion.model);
--- a/mimosashift/src/node/sink.rs
+++ b/mimosashift/src/node/sink.rs
@@ -6,7 +6,7 @@
 use hyper::header::{CACHE_CONTROL, CONTENT_TYPE};
 
 use super::outcome;
-use crate::http::completion::{Reason, Writer, decode_token};
+use crate::http::completion::{FinishReason, Writer, decode_token};
 use crate::http::problem::Problem;
 use crate::http::{Responder, Stream};
 use crate::meter::Meter;
@@ -102,13 +102,14 @@
         if *outcome == Outcome::Cancelled {
             return;
         }
-        let reason = if self.tokens < max_tokens { Reason::Stop } else { Reason::Length };
+        let reason =
+            if self.tokens < max_tokens { FinishReason::Stop } else { FinishReason::Length };
         if matches!(self.to, To::Pending { stream: true, .. }) {
             self.begin();
         }
         match self.to {
             To::Pending { responder, .. } => {
-                let body = self.writer.whole(&self.text, reason, prompt, self.tokens);
+                let body = self.writer.full_response(&self.text, reason, prompt, self.tokens);
                 responder.json(StatusCode::OK, body);
             }
             To::Stream(mut stream) => {
--- a/mimosashift/tests/http.rs
+++ b/mimosashift/tests/http.rs
@@ -1,4 +1,4 @@
-//! Hostile input: every decoder and the listening side.
+//! Malformed and hostile input to the decoders and the HTTP server.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use mimosashift::engine::http as steps;
 use mimosashift::engine::{Input, Label, RequestId, Step};
-use mimosashift::http::completion::{Completion, Form};
+use mimosashift::http::completion::{Completion, CompletionKind};
 use mimosashift::http::{Handler, Request, Responder, Server, Settings};
 use mimosashift::resource::{Kind, Layers, Name, Spec};
 use proptest::prelude::*;
@@ -17,7 +17,7 @@
 const SEED: u64 = 11;
 const CASES: u32 = 2_000;
 
-/// Runs a property on fixed random inputs.
+/// Checks a property on random inputs from a fixed seed.
 fn check<S: Strategy>(strategy: S, property: impl Fn(S::Value)) {
     let config = ProptestConfig {
         cases: CASES,
@@ -32,8 +32,8 @@
     TestRunner::new(config).run(&strategy, run).unwrap();
 }
 
-fn json_like() -> impl Strategy<Value = String> {
-    let word = prop_oneof![
+fn json_object() -> impl Strategy<Value = String> {
+    let key = prop_oneof![
         Just("model"),
         Just("prompt"),
         Just("messages"),
@@ -55,18 +55,18 @@
         any::<u64>().prop_map(|n| n.to_string()),
         "\"[a-z]{0,8}\"",
     ];
-    let pair = (word, value).prop_map(|(word, value)| format!("\"{word}\":{value}"));
+    let pair = (key, value).prop_map(|(key, value)| format!("\"{key}\":{value}"));
     prop::collection::vec(pair, 0..6).prop_map(|pairs| format!("{{{}}}", pairs.join(",")))
 }
 
 #[test]
-fn completion_decoder_takes_any_bytes() {
+fn completion_decoder_accepts_arbitrary_input() {
     check(prop::collection::vec(any::<u8>(), 0..200), |body| {
-        let _ = Completion::decode(Form::Text, &body);
+        let _ = Completion::decode(CompletionKind::Text, &body);
     });
-    check(json_like(), |body| {
-        for form in [Form::Text, Form::Chat] {
-            if let Ok(completion) = Completion::decode(form, body.as_bytes()) {
+    check(json_object(), |body| {
+        for kind in [CompletionKind::Text, CompletionKind::Chat] {
+            if let Ok(completion) = Completion::decode(kind, body.as_bytes()) {
                 assert!(!completion.prompt.is_empty() && completion.max_tokens > 0);
             }
         }
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn resource_decoder_takes_any_bytes() {
-    check(json_like(), |body| {
+fn resource_decoder_accepts_arbitrary_input() {
+    check(json_object(), |body| {
         for kind in Kind::ALL {
             if let Ok(spec) = Spec::decode(kind, body.as_bytes()) {
                 let again = Spec::decode(kind, spec.to_json().to_string().as_bytes());
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn step_decoder_takes_any_bytes_and_reads_what_it_wrote() {
+fn step_decoder_accepts_arbitrary_input_and_round_trips() {
     let bytes = || prop::collection::vec(any::<u8>(), 0..64);
     check(("\\PC{0,80}", bytes()), |(header, body)| {
         let _ = steps::decode(&header, &body);
@@ -132,60 +132,60 @@
     Server::start("echo", any, settings, Arc::new(Echo)).unwrap().address()
 }
 
-/// Sends raw bytes and returns all that comes back until the end.
-fn exchange(address: SocketAddr, request: &[u8]) -> String {
+/// Sends raw bytes and returns everything received until the connection closes.
+fn send_raw(address: SocketAddr, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     stream.write_all(request).unwrap();
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-/// Names each request that must be refused, one per line, with the start of
-/// its answer; the server must serve the next request all the same.
-macro_rules! refused {
-    ($($case:ident: $request:expr => $start:literal;)*) => {$(
+/// Generates a test per malformed request, each given with the expected start
+/// of the response; the server must still serve the next request.
+macro_rules! malformed_requests {
+    ($($test:ident: $request:expr => $status_line:literal;)*) => {$(
         #[test]
-        fn $case() {
+        fn $test() {
             let address = listen();
-            let answer = exchange(address, $request.as_bytes());
-            assert!(answer.starts_with($start), "{answer}");
+            let response = send_raw(address, $request.as_bytes());
+            assert!(response.starts_with($status_line), "{response}");
             let next = "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\nconnection: close\r\n\r\nok";
-            assert!(exchange(address, next.as_bytes()).ends_with("ok"));
+            assert!(send_raw(address, next.as_bytes()).ends_with("ok"));
         }
     )*};
 }
 
-refused! {
-    no_request_line: "nonsense\r\n\r\n" => "HTTP/1.1 400";
+malformed_requests! {
+    missing_request_line: "nonsense\r\n\r\n" => "HTTP/1.1 400";
     head_too_large: format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "a".repeat(20_000)) => "HTTP/1.1 431";
-    bad_length: "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: x\r\n\r\n" => "HTTP/1.1 400";
-    two_lengths: "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab" => "HTTP/1.1 400";
+    invalid_content_length: "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: x\r\n\r\n" => "HTTP/1.1 400";
+    duplicate_content_length: "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab" => "HTTP/1.1 400";
 }
 
 #[test]
-fn body_too_large_is_refused_as_not_run() {
+fn oversized_body_is_refused_as_not_run() {
     let body = "a".repeat(2_000);
     let request = format!(
         "POST / HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: 2000\r\n\r\n{body}"
     );
-    let answer = exchange(listen(), request.as_bytes());
-    assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
-    assert!(answer.contains("\"effect\":\"not-run\""), "{answer}");
+    let response = send_raw(listen(), request.as_bytes());
+    assert!(response.starts_with("HTTP/1.1 413"), "{response}");
+    assert!(response.contains("\"effect\":\"not-run\""), "{response}");
 }
 
 #[test]
-fn body_that_never_comes_is_refused() {
+fn incomplete_body_times_out() {
     let request =
         "POST / HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: 10\r\n\r\nabc";
-    let answer = exchange(listen(), request.as_bytes());
-    assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
+    let response = send_raw(listen(), request.as_bytes());
+    assert!(response.starts_with("HTTP/1.1 408"), "{response}");
 }
 
 #[test]
-fn answer_cut_short_does_not_look_whole() {
-    let answer = exchange(listen(), b"GET /cut HTTP/1.1\r\nhost: a\r\n\r\n");
-    assert!(answer.contains("half"), "{answer}");
-    assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
+fn truncated_response_has_no_final_chunk() {
+    let response = send_raw(listen(), b"GET /cut HTTP/1.1\r\nhost: a\r\n\r\n");
+    assert!(response.contains("half"), "{response}");
+    assert!(!response.ends_with("0\r\n\r\n"), "{response}");
 }
