--- a/mimosashift/src/http/server.rs
+++ b/mimosashift/src/http/server.rs
@@ -176,7 +176,7 @@
     }
 
     /// Whether the client has closed its connection.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         self.sender.is_closed()
     }
 }
@@ -188,7 +188,7 @@
     }
 
     /// Whether the client has closed its connection.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         self.sender.is_closed()
     }
 
--- a/mimosashift/src/node/callers.rs
+++ b/mimosashift/src/node/callers.rs
@@ -175,7 +175,7 @@
             deadline: job.request.deadline,
             service,
         };
-        self.0.gate.enter(&request, || answer.is_gone()).map_err(|denied| match denied {
+        self.0.gate.enter(&request, || answer.is_disconnected()).map_err(|denied| match denied {
             Denied::Gone => None,
             Denied::Refused { refusal, retry_after } => {
                 Some(outcome::not_admitted(refusal, retry_after))
--- a/mimosashift/src/node/gate.rs
+++ b/mimosashift/src/node/gate.rs
@@ -58,7 +58,7 @@
     pub fn enter(
         &self,
         request: &Request<'_>,
-        is_gone: impl Fn() -> bool,
+        is_disconnected: impl Fn() -> bool,
     ) -> Result<Permit<'_>, Denied> {
         let (sender, verdict) = channel::bounded(1);
         let ticket = self.step(|admission, waiting, out| {
@@ -73,7 +73,7 @@
                 Err(RecvTimeoutError::Disconnected) => {
                     unreachable!("a waiting request keeps its sender until its verdict")
                 }
-                Err(RecvTimeoutError::Timeout) if is_gone() && self.withdraw(ticket) => {
+                Err(RecvTimeoutError::Timeout) if is_disconnected() && self.withdraw(ticket) => {
                     return Err(Denied::Gone);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
--- a/mimosashift/src/node/operators/watch.rs
+++ b/mimosashift/src/node/operators/watch.rs
@@ -71,7 +71,7 @@
 
 fn follow(node: &Node, mut after: u64, mut stream: Stream) {
     let mut written = Instant::now();
-    while !stream.is_gone() && !node.drain.is_requested() {
+    while !stream.is_disconnected() && !node.drain.is_requested() {
         // The client asks again and learns that it has to list.
         let Ok(records) = node.cluster.watch(after) else { break };
         let mut lines: String =
--- a/mimosashift/src/node/sink.rs
+++ b/mimosashift/src/node/sink.rs
@@ -46,10 +46,10 @@
     }
 
     /// Whether the caller has closed its connection.
-    pub fn is_gone(&self) -> bool {
+    pub fn is_disconnected(&self) -> bool {
         match &self.to {
-            To::Pending { responder, .. } => responder.is_gone(),
-            To::Stream(stream) => stream.is_gone(),
+            To::Pending { responder, .. } => responder.is_disconnected(),
+            To::Stream(stream) => stream.is_disconnected(),
             To::Gone => true,
         }
     }
@@ -61,7 +61,7 @@
         match &mut self.to {
             To::Pending { responder, stream: false } => {
                 self.text.push(text);
-                !responder.is_gone()
+                !responder.is_disconnected()
             }
             To::Pending { .. } => self.begin().write(text),
             To::Stream(_) | To::Gone => self.write(text),
--- a/mimosastandin/src/engine.rs
+++ b/mimosastandin/src/engine.rs
@@ -294,7 +294,7 @@
             },
             _ if fault == Fault::Dead => responder.abort(),
             _ if fault == Fault::Silent => {
-                while !responder.is_gone() {
+                while !responder.is_disconnected() {
                     thread::sleep(Duration::from_millis(50));
                 }
             }
--- a/mimosastandin/src/platform.rs
+++ b/mimosastandin/src/platform.rs
@@ -186,7 +186,7 @@
         match fault {
             Fault::Down => return responder.abort(),
             Fault::Silent => {
-                while !responder.is_gone() {
+                while !responder.is_disconnected() {
                     thread::sleep(Duration::from_millis(50));
                 }
                 return;
