--- a/mimosashift/src/engine/http.rs
+++ b/mimosashift/src/engine/http.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Failure, Input, Label, Load, Output, Reply, RequestId, Step};
-use crate::http::client::{self, Answer, Call, Client};
+use crate::http::client::{self, Call, Client, Response};
 use crate::resource::Name;
 
 /// Header that carries the labels of a step and of its reply.
@@ -171,7 +171,7 @@
     Ok(Step { label: header.label, priority: header.priority, adapter: header.adapter, input })
 }
 
-fn decode_reply(answer: &Answer) -> Result<Reply, Failure> {
+fn decode_reply(answer: &Response) -> Result<Reply, Failure> {
     if answer.status != StatusCode::OK {
         return Err(refusal(answer));
     }
@@ -203,7 +203,7 @@
     Ok(chunks.map(token).collect())
 }
 
-fn refusal(answer: &Answer) -> Failure {
+fn refusal(answer: &Response) -> Failure {
     let Ok(refusal) = serde_json::from_slice::<Refusal>(&answer.body) else {
         return Failure::Malformed(format!("status {} without a refusal", answer.status.as_u16()));
     };
--- a/mimosashift/src/http/client.rs
+++ b/mimosashift/src/http/client.rs
@@ -75,7 +75,7 @@
 
 /// A complete response.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -104,7 +104,7 @@
     }
 }
 
-impl Answer {
+impl Response {
     /// The value of a header, if it is visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
@@ -119,7 +119,7 @@
     }
 
     /// Makes a call and reads the complete response, whatever its status.
-    pub fn call(&self, call: &Call<'_>) -> Result<Answer, Failure> {
+    pub fn call(&self, call: &Call<'_>) -> Result<Response, Failure> {
         let start = Instant::now();
         let agent = if call.fresh { self.fresh.clone() } else { self.agent(call.address) };
         let result = self.exchange(&agent, call);
@@ -145,7 +145,7 @@
         agents.entry(address).or_insert_with(new).clone()
     }
 
-    fn exchange(&self, agent: &Agent, call: &Call<'_>) -> Result<Answer, ureq::Error> {
+    fn exchange(&self, agent: &Agent, call: &Call<'_>) -> Result<Response, ureq::Error> {
         let uri = format!("http://{}{}", call.address, call.path);
         let mut request = ureq::http::Request::builder().method(call.method.clone()).uri(uri);
         for (name, value) in call.headers {
@@ -162,7 +162,7 @@
         };
         let (head, mut body) = response.into_parts();
         let body = body.with_config().limit(limit).read_to_vec()?;
-        Ok(Answer { status: head.status, headers: head.headers, body })
+        Ok(Response { status: head.status, headers: head.headers, body })
     }
 }
 
--- a/mimosashift/src/node/postings/send.rs
+++ b/mimosashift/src/node/postings/send.rs
@@ -6,7 +6,7 @@
 use hyper::header::HeaderName;
 
 use super::Step;
-use crate::http::client::{Answer as Response, Failure};
+use crate::http::client::{Failure, Response};
 use crate::http::problem::{Effect, Problem};
 use crate::http::{Request, Responder};
 use crate::node::Node;
--- a/mimosashift/src/node/services.rs
+++ b/mimosashift/src/node/services.rs
@@ -8,7 +8,7 @@
 use super::installed::Installed;
 use super::postings;
 use crate::health::{Availability, Exchange, HealthView};
-use crate::http::client::{Answer, Call, Failure};
+use crate::http::client::{Call, Failure, Response};
 use crate::http::problem::{Effect, Problem};
 use crate::http::{Request, Responder};
 use crate::resource::{Endpoint, Name, Role};
@@ -91,7 +91,7 @@
     endpoint: &Endpoint,
     target: &Target<'_>,
     request: &Request,
-) -> Result<Answer, Failure> {
+) -> Result<Response, Failure> {
     let headers: Vec<(&str, &str)> =
         FORWARDED.iter().filter_map(|name| Some((*name, request.header(name)?))).collect();
     let call = Call {
@@ -134,7 +134,7 @@
 }
 
 /// Passes a service's answer on to the caller.
-pub fn pass_on(responder: Responder, answer: Answer) {
+pub fn pass_on(responder: Responder, answer: Response) {
     let kind = answer.header("content-type").unwrap_or("application/octet-stream").to_owned();
     responder.send(answer.status, &[(hyper::header::CONTENT_TYPE, &kind)], answer.body);
 }
--- a/mimosashift/src/platform/http.rs
+++ b/mimosashift/src/platform/http.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Key, Machines, Outcome, Page, Refusal, Row, Table, Transaction};
-use crate::http::client::{Answer, Call, Client, Failure};
+use crate::http::client::{Call, Client, Failure, Response};
 
 /// Answer to a transaction that took effect.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
@@ -69,7 +69,7 @@
         }
     }
 
-    fn call(&self, method: Method, path: &str, body: &[u8]) -> Result<Answer, Failure> {
+    fn call(&self, method: Method, path: &str, body: &[u8]) -> Result<Response, Failure> {
         let (address, timeout) = (self.address, self.timeout);
         self.client.call(&Call { address, method, path, headers: &[], body, timeout, fresh: false })
     }
@@ -122,7 +122,7 @@
     utf8_percent_encode(text, NON_ALPHANUMERIC).to_string()
 }
 
-fn refused(answer: &Answer) -> Refusal {
+fn refused(answer: &Response) -> Refusal {
     match answer.status {
         StatusCode::TOO_MANY_REQUESTS => Refusal::OverBudget,
         StatusCode::BAD_REQUEST => {
--- a/mimosashiftd/tests/cluster.rs
+++ b/mimosashiftd/tests/cluster.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use mimosashift::http::client::{Answer, Call, Client, Settings};
+use mimosashift::http::client::{Call, Client, Response, Settings};
 use mimosastandin::platform::{self, Fault};
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
@@ -98,7 +98,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Answer {
+    ) -> Response {
         let bearer = format!("Bearer {TOKEN}");
         let mut headers = headers.to_vec();
         headers.push(("authorization", &bearer));
@@ -121,7 +121,7 @@
     }
 
     /// What the balancer sees; `None` while the router does not listen yet.
-    fn ready(&self, index: usize) -> Option<Answer> {
+    fn ready(&self, index: usize) -> Option<Response> {
         let call = Call {
             address: self.routers[index].callers,
             method: Method::GET,
@@ -152,7 +152,13 @@
         json(&answer)["revision"].as_u64().unwrap()
     }
 
-    fn try_put(&self, index: usize, name: &str, level: usize, headers: &[(&str, &str)]) -> Answer {
+    fn try_put(
+        &self,
+        index: usize,
+        name: &str,
+        level: usize,
+        headers: &[(&str, &str)],
+    ) -> Response {
         let path = format!("/api/v1/priority/{name}");
         let body = json!({"level": level}).to_string();
         self.send(index, Method::PUT, &path, headers, &body)
@@ -452,11 +458,11 @@
     domains.as_object().unwrap().values().map(|domain| domain[field].as_u64().unwrap()).sum()
 }
 
-fn json(answer: &Answer) -> Value {
+fn json(answer: &Response) -> Value {
     serde_json::from_slice(&answer.body).unwrap()
 }
 
-fn text(answer: &Answer) -> String {
+fn text(answer: &Response) -> String {
     String::from_utf8_lossy(&answer.body).into_owned()
 }
 
--- a/mimosashiftd/tests/common/mod.rs
+++ b/mimosashiftd/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use hyper::Method;
-use mimosashift::http::client::{Answer, Call, Client, Failure};
+use mimosashift::http::client::{Call, Client, Failure, Response};
 use mimosastandin::{platform, service};
 use serde_json::Value;
 use sha2::{Digest, Sha256};
@@ -116,7 +116,7 @@
     }
 
     /// Calls a router as its operator.
-    pub fn operate(&self, router: &Router, method: Method, path: &str, body: &str) -> Answer {
+    pub fn operate(&self, router: &Router, method: Method, path: &str, body: &str) -> Response {
         let authorization = format!("Bearer {OPERATOR}");
         let call = Call {
             address: router.operators,
@@ -137,7 +137,7 @@
         key: Option<&str>,
         body: &str,
         timeout: Duration,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, Failure> {
         let authorization = format!("Bearer {CALLER}");
         let mut headers = vec![("authorization", authorization.as_str())];
         headers.extend(key.map(|key| ("idempotency-key", key)));
@@ -270,7 +270,7 @@
 }
 
 /// What an answer tells the caller.
-pub fn told(answer: &Result<Answer, Failure>) -> Said {
+pub fn told(answer: &Result<Response, Failure>) -> Said {
     let answer = match answer {
         Ok(answer) => answer,
         Err(Failure::NotSent { .. }) => return Said::NotRun,
--- a/mimosashiftd/tests/postings.rs
+++ b/mimosashiftd/tests/postings.rs
@@ -8,7 +8,7 @@
 
 use common::{Cluster, Counts, History, Load, Said, naive, told};
 use hyper::Method;
-use mimosashift::http::client::Answer;
+use mimosashift::http::client::Response;
 use mimosashift::platform::{Check, Key, Outcome, Table, Transaction, Write};
 use mimosashift::posting::{Entry, TABLE, resolve};
 use mimosastandin::{platform, service};
@@ -232,7 +232,7 @@
     }
 }
 
-fn problem(answer: &Answer) -> Value {
+fn problem(answer: &Response) -> Value {
     serde_json::from_slice(&answer.body).unwrap_or_default()
 }
 
--- a/mimosastandin/src/demo/sample.rs
+++ b/mimosastandin/src/demo/sample.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use mimosashift::http::client::{Answer, Call, Client};
+use mimosashift::http::client::{Call, Client, Response};
 use mimosashift::http::completion::{decode_token, encode_text};
 use serde_json::{Value, json};
 use ureq::http::Method;
@@ -230,7 +230,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let bearer = format!("Bearer {CALLER_TOKEN}");
         let mut all = vec![("authorization", bearer.as_str())];
         all.extend_from_slice(headers);
@@ -245,14 +245,14 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let (body, timeout) = (body.as_bytes(), Duration::from_secs(30));
         let call = Call { address, method, path, headers, body, timeout, fresh: false };
         self.client.call(&call).map_err(|e| Error::Sample { step, reason: e.to_string() })
     }
 }
 
-fn parse(answer: &Answer) -> Value {
+fn parse(answer: &Response) -> Value {
     serde_json::from_slice(&answer.body).unwrap_or_default()
 }
 
--- a/mimosastandin/tests/path.rs
+++ b/mimosastandin/tests/path.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mimosashift::http::client::{Answer, Call, Client};
+use mimosashift::http::client::{Call, Client, Response};
 use mimosashift::http::completion::{decode_token, encode_text};
 use mimosashift::node::{Running, Settings};
 use mimosashift::resource::{Engine, Name};
@@ -115,11 +115,18 @@
         assert!(answer.status.is_success(), "{}", String::from_utf8_lossy(&answer.body));
     }
 
-    fn complete(&self, path: &str, body: &str) -> Answer {
+    fn complete(&self, path: &str, body: &str) -> Response {
         self.call(self.callers, Method::POST, path, CALLER, body)
     }
 
-    fn call(&self, to: SocketAddr, method: Method, path: &str, token: &str, body: &str) -> Answer {
+    fn call(
+        &self,
+        to: SocketAddr,
+        method: Method,
+        path: &str,
+        token: &str,
+        body: &str,
+    ) -> Response {
         let authorization = format!("Bearer {token}");
         let call = Call {
             address: to,
