--- a/mimosashift/src/http/mod.rs
+++ b/mimosashift/src/http/mod.rs
@@ -1,6 +1,6 @@
 //! HTTP server for callers and operators, and HTTP client.
 //!
-//! One asynchronous thread does the socket I/O; handlers are blocking
+//! A small asynchronous runtime does the socket I/O; handlers are blocking
 //! functions that run on a [`pool`] of worker threads. `docs/design/http.md`
 //! explains why the server uses `hyper` rather than `oxhttp`.
 
--- a/mimosashift/src/node/auth.rs
+++ b/mimosashift/src/node/auth.rs
@@ -1,4 +1,4 @@
-//! Who is calling.
+//! Authentication and authorization by bearer token.
 
 use hyper::StatusCode;
 use sha2::{Digest as _, Sha256};
@@ -9,7 +9,7 @@
 use crate::resource::{Name, Snapshot, Team};
 use crate::settings::Digest;
 
-/// The team whose token a request carries.
+/// The team that a request's token belongs to.
 pub fn team<'a>(
     request: &Request,
     snapshot: &'a Snapshot,
@@ -18,14 +18,14 @@
     snapshot.team_of_token(&digest).ok_or_else(unauthorized)
 }
 
-/// Checks that a request may change resources, and names who makes it.
+/// Checks that a request comes from an operator, and returns its name.
 pub fn operator(
     request: &Request,
     snapshot: &Snapshot,
     bootstrap: Option<&Digest>,
 ) -> Result<String, Problem> {
     let digest = token_digest(request)?;
-    if bootstrap.is_some_and(|known| bool::from(digest.ct_eq(&known.0))) {
+    if bootstrap.is_some_and(|expected| bool::from(digest.ct_eq(&expected.0))) {
         return Ok("bootstrap".to_owned());
     }
     let (name, team) = team(request, snapshot)?;
--- a/mimosashift/src/node/callers.rs
+++ b/mimosashift/src/node/callers.rs
@@ -1,4 +1,4 @@
-//! The caller surface.
+//! The caller API.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use super::gate::{Denied, Permit};
 use super::installed::Installed;
-use super::relay::{self, Done, Job};
+use super::relay::{self, Job, RunResult};
 use super::services::{self, Target};
 use super::sink::Sink;
 use super::{Node, auth, outcome};
@@ -23,17 +23,17 @@
 use crate::pipeline::{self, Outcome};
 use crate::resource::{Name, Route, Team};
 
-/// Header that bounds the time until an answer is useless, in milliseconds.
+/// Header with the deadline of a request, in milliseconds from its arrival.
 const DEADLINE_HEADER: &str = "x-deadline-ms";
 
-/// Token that ends an answer early.
+/// Token that ends generation.
 const STOP_TOKEN: u32 = 0;
 
-/// Answers callers.
-pub struct Surface(pub Arc<Node>);
+/// Handles requests of callers.
+pub struct Api(pub Arc<Node>);
 
-/// A checked completion and what it is to run on.
-struct Asked<'a> {
+/// A validated completion request with the resources it refers to.
+struct ValidatedRequest<'a> {
     completion: Completion,
     name: &'a Name,
     team: &'a Team,
@@ -42,7 +42,7 @@
     deadline: Duration,
 }
 
-impl Handler for Surface {
+impl Handler for Api {
     fn handle(&self, request: Request, responder: Responder) {
         let path = request.uri.path();
         match (&request.method, path) {
@@ -50,7 +50,7 @@
             (&Method::GET, "/readyz") => return self.ready(responder),
             _ => {}
         }
-        if let Some(problem) = self.0.without_configuration() {
+        if let Some(problem) = self.0.config_missing() {
             return responder.problem(&problem);
         }
         match (&request.method, path) {
@@ -70,7 +70,7 @@
     }
 }
 
-impl Surface {
+impl Api {
     fn ready(&self, responder: Responder) {
         match self.0.not_ready() {
             Some(problem) => responder.problem(&problem),
@@ -85,10 +85,10 @@
             Ok((name, _)) => name,
             Err(problem) => return responder.problem(&problem),
         };
-        let open = |route: &&Route| is_allowed(route, team);
+        let allowed = |route: &&Route| is_allowed(route, team);
         let models: Vec<_> = snapshot
             .routes()
-            .filter(open)
+            .filter(allowed)
             .map(|route| json!({"id": route.model, "object": "model", "owned_by": "mimosashift"}))
             .collect();
         let body = json!({"object": "list", "data": models});
@@ -96,118 +96,119 @@
     }
 
     fn complete(&self, kind: CompletionKind, request: Request, responder: Responder) {
-        self.0.drain.note_arrival();
+        self.0.drain.record_arrival();
         let installed = self.0.installed();
-        let asked = match check(kind, &request, &installed) {
-            Ok(asked) => asked,
+        let validated = match validate(kind, &request, &installed) {
+            Ok(validated) => validated,
             Err(problem) => {
-                self.note_refusal(problem.code);
+                self.record_refusal(problem.code);
                 return responder.problem(&problem);
             }
         };
-        self.run(&installed, asked, responder);
+        self.run(&installed, validated, responder);
     }
 
-    fn run(&self, installed: &Installed, asked: Asked<'_>, responder: Responder) {
+    fn run(&self, installed: &Installed, validated: ValidatedRequest<'_>, responder: Responder) {
         let node = &*self.0;
         let id = RequestId(rand::random());
-        let level =
-            installed.snapshot().priority(&asked.team.priority).map_or(u8::MAX, |p| p.level);
-        let completion = &asked.completion;
+        let priority_level =
+            installed.snapshot().priority(&validated.team.priority).map_or(u8::MAX, |p| p.level);
+        let completion = &validated.completion;
         let request = pipeline::Request {
             id,
             prompt: completion.prompt.clone(),
-            max_tokens: completion.max_tokens.min(asked.route.max_tokens),
+            max_tokens: completion.max_tokens.min(validated.route.max_tokens),
             stop: Some(STOP_TOKEN),
-            deadline: node.clock.now() + asked.deadline,
-            priority: level,
+            deadline: node.clock.now() + validated.deadline,
+            priority: priority_level,
             adapter: completion.adapter.clone(),
         };
         let (prompt, max_tokens) = (request.prompt.len(), request.max_tokens as usize);
-        let job = Job { pipeline: &asked.route.pipeline, version: asked.version, request };
+        let job = Job { pipeline: &validated.route.pipeline, version: validated.version, request };
         let created = node.clock.unix_ms() / 1_000;
         let writer =
             Writer::new(completion.kind, &format!("cmpl-{id}"), &completion.model, created);
-        let mut answer = Sink::new(&node.meter, responder, writer, completion.stream);
-        let mut permit = match self.admit(installed, &job, &asked, &answer) {
+        let mut sink = Sink::new(&node.meter, responder, writer, completion.stream);
+        let mut permit = match self.admit(installed, &job, &validated, &sink) {
             Ok(permit) => permit,
             Err(None) => return,
             Err(Some(problem)) => {
-                self.note_refusal(problem.code);
-                return answer.refuse(&problem);
+                self.record_refusal(problem.code);
+                return sink.refuse(&problem);
             }
         };
-        let done = relay::run(node, installed, job, &mut |token| answer.push(token));
-        match done {
-            Ok(done) => {
+        let result = relay::run(node, installed, job, &mut |token| sink.push(token));
+        match result {
+            Ok(result) => {
                 permit.usage = Usage {
-                    tokens: (prompt + answer.tokens()) as u32,
-                    overloaded: done.overloaded,
+                    tokens: (prompt + sink.tokens()) as u32,
+                    overloaded: result.overloaded,
                 };
-                self.note(&done, &answer);
-                answer.finish(&done.outcome, prompt, max_tokens);
+                self.record_outcome(&result, &sink);
+                sink.finish(&result.outcome, prompt, max_tokens);
             }
             Err(refusal) => {
                 let problem = outcome::no_chain(&refusal);
-                self.note_refusal(problem.code);
-                answer.refuse(&problem);
+                self.record_refusal(problem.code);
+                sink.refuse(&problem);
             }
         }
     }
 
-    /// Waits until the request may run; `None` when its caller has gone.
+    /// Waits until the request may run; the error is `None` if its caller has
+    /// disconnected.
     fn admit(
         &self,
         installed: &Installed,
         job: &Job<'_>,
-        asked: &Asked<'_>,
-        answer: &Sink<'_>,
+        validated: &ValidatedRequest<'_>,
+        sink: &Sink<'_>,
     ) -> Result<Permit<'_>, Option<Problem>> {
         let service = relay::estimate(&self.0, installed, job);
         let service = service.map_err(|refusal| Some(outcome::no_chain(&refusal)))?;
         let cost = job.request.prompt.len() as u32 + job.request.max_tokens;
         let request = admit::Request {
-            name: asked.name,
-            team: asked.team,
+            name: validated.name,
+            team: validated.team,
             level: job.request.priority,
             cost,
             bytes: job.request.prompt.len() * size_of::<u32>(),
             deadline: job.request.deadline,
             service,
         };
-        self.0.gate.enter(&request, || answer.is_disconnected()).map_err(|denied| match denied {
-            Denied::Gone => None,
+        self.0.gate.admit(&request, || sink.is_disconnected()).map_err(|denied| match denied {
+            Denied::Disconnected => None,
             Denied::Refused { refusal, retry_after } => {
-                Some(outcome::not_admitted(refusal, retry_after))
+                Some(outcome::admission_refused(refusal, retry_after))
             }
         })
     }
 
-    fn note_refusal(&self, code: &'static str) {
+    fn record_refusal(&self, code: &'static str) {
         let node = &self.0;
         node.meter.requests(1, meter::Outcome::Refused);
-        node.meter.refusals(1, outcome::counted_refusal(code));
+        node.meter.refusals(1, outcome::refusal_metric(code));
         let event = if code == "shed" { Event::RequestShed } else { Event::RequestRefused };
         emit!(node.log, event, "code" => code);
     }
 
-    fn note(&self, done: &Done, answer: &Sink<'_>) {
-        self.0.meter.requests(1, outcome::counted(&done.outcome));
-        let (tokens, recovered) = (answer.tokens(), done.recovered);
-        match &done.outcome {
+    fn record_outcome(&self, result: &RunResult, sink: &Sink<'_>) {
+        self.0.meter.requests(1, outcome::outcome_metric(&result.outcome));
+        let (tokens, recovered) = (sink.tokens(), result.recovered);
+        match &result.outcome {
             Outcome::Complete => {}
             Outcome::Cancelled => {
                 emit!(self.0.log, Event::RequestCutShort, "tokens" => tokens);
             }
             Outcome::Failed { .. } | Outcome::DeadlineExceeded { .. } => {
                 emit!(self.0.log, Event::RequestGaveUp, "tokens" => tokens,
-                    "recovered" => recovered, "outcome" => format!("{:?}", done.outcome));
+                    "recovered" => recovered, "outcome" => format!("{:?}", result.outcome));
             }
         }
     }
 
     fn service(&self, request: &Request, responder: Responder) {
-        self.0.drain.note_arrival();
+        self.0.drain.record_arrival();
         let installed = self.0.installed();
         let snapshot = installed.snapshot();
         let checked =
@@ -232,27 +233,27 @@
     }
 }
 
-fn check<'a>(
+fn validate<'a>(
     kind: CompletionKind,
     request: &Request,
     installed: &'a Installed,
-) -> Result<Asked<'a>, Problem> {
+) -> Result<ValidatedRequest<'a>, Problem> {
     let snapshot = installed.snapshot();
     let (name, team) = auth::team(request, snapshot)?;
     let completion = Completion::decode(kind, &request.body)
         .map_err(|e| Problem::not_run(StatusCode::BAD_REQUEST, "invalid", e.to_string()))?;
-    let missing = || {
+    let not_found = || {
         let detail = format!("model {:?} does not exist", completion.model);
         Problem::not_run(StatusCode::NOT_FOUND, "model-not-found", detail)
     };
-    let (_, route) = snapshot.route(&completion.model).ok_or_else(missing)?;
+    let (_, route) = snapshot.route(&completion.model).ok_or_else(not_found)?;
     if !is_allowed(route, name) {
         let detail = format!("team {:?} may not call model {:?}", name.as_str(), route.model);
         return Err(Problem::not_run(StatusCode::FORBIDDEN, "forbidden", detail));
     }
-    let pipeline = snapshot.pipeline(&route.pipeline).ok_or_else(missing)?;
+    let pipeline = snapshot.pipeline(&route.pipeline).ok_or_else(not_found)?;
     let deadline = deadline(request, route.deadline_ms)?;
-    Ok(Asked { completion, name, team, route, version: pipeline.version, deadline })
+    Ok(ValidatedRequest { completion, name, team, route, version: pipeline.version, deadline })
 }
 
 fn is_allowed(route: &Route, team: &Name) -> bool {
@@ -272,7 +273,7 @@
     }
 }
 
-/// The service and the path at the service that a call names.
+/// The service that a call is for, and its path and query there.
 fn service_path(request: &Request) -> Result<(Name, String), Problem> {
     let rest = request.uri.path().trim_start_matches("/services/");
     let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
--- a/mimosashift/src/node/clock.rs
+++ b/mimosashift/src/node/clock.rs
@@ -1,13 +1,13 @@
-//! The clock that the shell hands to decisions.
+//! The clock that provides the time to the decision logic.
 
 use std::time::{Instant as Monotonic, SystemTime, UNIX_EPOCH};
 
 use crate::time::Instant;
 
-/// A monotonic clock that starts at the Unix time of its making.
+/// A monotonic clock that starts at the Unix time of its creation.
 ///
-/// It never goes back when the system's time is set; routers compare instants
-/// only with a tolerance.
+/// It does not follow later changes of the system time, so it never goes back.
+/// Routers compare instants only with a tolerance.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Monotonic,
@@ -15,7 +15,7 @@
 }
 
 impl Clock {
-    /// A clock that shows the system's time now.
+    /// A clock that starts at the current system time.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let unix_micros = u64::try_from(unix.as_micros()).unwrap_or(u64::MAX);
--- a/mimosashift/src/node/cluster/life.rs
+++ b/mimosashift/src/node/cluster/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The configuration of a router in whichever phase it is.
+//! Configuration state of a router, while it starts and while it serves.
 
 use crate::config::Replicator;
 use crate::config::phase::{NotServingReason, Router, Serving, Starting};
@@ -6,21 +6,21 @@
 use crate::resource::Name;
 use crate::time::Instant;
 
-/// Starting, then serving.
-pub struct Life(Option<Phase>);
+/// A router that starts and later serves. `None` only during a transition.
+pub struct Lifecycle(Option<Phase>);
 
 enum Phase {
     Starting(Router<Starting>),
     Serving(Router<Serving>),
 }
 
-impl Life {
-    /// Starts with nothing installed.
+impl Lifecycle {
+    /// A starting router without a configuration.
     pub fn new(node: Name, now: Instant) -> Self {
         Self(Some(Phase::Starting(Router::new(node, now))))
     }
 
-    /// The exchange with the table and other routers.
+    /// Replication with the table and other routers.
     pub fn replicator(&self) -> &Replicator {
         match self.phase() {
             Phase::Starting(router) => router.replicator(),
@@ -28,18 +28,18 @@
         }
     }
 
-    /// The exchange with the table and other routers, to drive it.
+    /// Mutable access to the replication.
     pub fn replicator_mut(&mut self) -> &mut Replicator {
-        match self.0.as_mut().expect("a phase is put back at once") {
+        match self.0.as_mut().expect("the phase is absent only during a transition") {
             Phase::Starting(router) => router.replicator_mut(),
             Phase::Serving(router) => router.replicator_mut(),
         }
     }
 
-    /// Why the router may not serve yet, `None` when it does.
+    /// Reason why the router does not serve yet; `None` if it does.
     pub fn reason(&self, now: Instant, peers: &[Peer]) -> Option<NotServingReason> {
         match self.phase() {
-            // It serves from the next tick on.
+            // If nothing prevents it from serving, it does so from the next tick on.
             Phase::Starting(router) => {
                 Some(router.reason(now, peers).unwrap_or(NotServingReason::QueryingTable))
             }
@@ -47,22 +47,22 @@
         }
     }
 
-    /// Serves if the router may; returns whether it has just begun.
+    /// Switches to serving if the router may; returns whether it has just done so.
     pub fn try_serve(&mut self, now: Instant, peers: &[Peer]) -> bool {
-        let phase = self.0.take().expect("a phase is put back at once");
+        let phase = self.0.take().expect("the phase is absent only during a transition");
         let Phase::Starting(router) = phase else {
             self.0 = Some(phase);
             return false;
         };
-        let (next, begun) = match router.serve(now, peers) {
+        let (next, started) = match router.serve(now, peers) {
             Ok(serving) => (Phase::Serving(serving), true),
             Err(starting) => (Phase::Starting(starting), false),
         };
         self.0 = Some(next);
-        begun
+        started
     }
 
     const fn phase(&self) -> &Phase {
-        self.0.as_ref().expect("a phase is put back at once")
+        self.0.as_ref().expect("the phase is absent only during a transition")
     }
 }
--- a/mimosashift/src/node/cluster/mod.rs
+++ b/mimosashift/src/node/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! What a router shares with others: who is alive and what is configured.
+//! State shared with other routers: membership and configuration.
 //!
-//! A thread decides several times a second; the calls that follow are made by
-//! threads of their own, without a lock.
+//! One thread makes the decisions at a fixed interval; other threads make the
+//! resulting calls, without holding a lock.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, Weak};
@@ -30,55 +30,57 @@
 use crate::wire::message::Bundle;
 use crate::wire::{Frame, Key, Message, Ring};
 
-mod life;
+mod lifecycle;
 mod report;
 
-use life::Life;
+use lifecycle::Lifecycle;
 use report::Reports;
 
-/// Time between two decisions.
+/// Time between two ticks, at which decisions are made.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Threads that exchange configuration with other routers.
 const EXCHANGE_THREADS: usize = 4;
 
-/// Exchanges that may wait; what is dropped is pulled later.
+/// Maximum number of queued exchanges; a dropped one is made up for by a later
+/// pull.
 const MAX_EXCHANGES: usize = 1_024;
 
-/// The part of a router that is shared with others.
+/// Membership and configuration of a router, with their communication.
 pub struct Cluster {
     shared: Mutex<Shared>,
-    /// Absent when no peer key is set: the router is then alone.
+    /// Absent if no peer key is set; the router then runs without peers.
     transport: OnceLock<Transport>,
     exchanges: Sender<Exchange>,
     polls: Sender<State>,
 }
 
-/// What waits for its threads.
-pub struct Work {
+/// The receivers for the exchange and poll threads.
+pub struct Receivers {
     exchanges: Receiver<Exchange>,
     polls: Receiver<State>,
 }
 
 struct Shared {
     membership: Membership,
-    life: Life,
+    lifecycle: Lifecycle,
     reports: Reports,
-    /// How alive each other router was at the last tick.
-    seen: BTreeMap<Name, Liveness>,
-    reported: Instant,
+    /// Liveness of the other routers of the own domain at the last tick.
+    last_liveness: BTreeMap<Name, Liveness>,
+    /// When the demand was last reported.
+    demand_reported_at: Instant,
     rng: Pcg64Mcg,
 }
 
-/// An exchange with another router.
+/// A configuration exchange with another router.
 enum Exchange {
     Pull(Name, Request),
     Push(Name, Vec<Record>),
 }
 
 impl Cluster {
-    /// A router that has heard nothing yet.
-    pub fn new(settings: &Settings, now: Instant) -> (Self, Work) {
+    /// A router without peers and configuration yet.
+    pub fn new(settings: &Settings, now: Instant) -> (Self, Receivers) {
         let mut rng = Pcg64Mcg::seed_from_u64(rand::random());
         let own = Identity {
             node: settings.node.name.clone(),
@@ -87,25 +89,25 @@
             incarnation: member::incarnation(now.as_micros(), &mut rng),
         };
         let shared = Shared {
-            life: Life::new(own.node.clone(), now),
+            lifecycle: Lifecycle::new(own.node.clone(), now),
             membership: Membership::new(own, &settings.peer.peers),
             reports: Reports::default(),
-            seen: BTreeMap::new(),
-            reported: Instant::ZERO,
+            last_liveness: BTreeMap::new(),
+            demand_reported_at: Instant::ZERO,
             rng,
         };
-        let (exchanges, exchanges_received) = channel::bounded(MAX_EXCHANGES);
-        // At most one poll is under way.
-        let (polls, polls_received) = channel::bounded(1);
+        let (exchanges, exchange_receiver) = channel::bounded(MAX_EXCHANGES);
+        // At most one poll is in flight.
+        let (polls, poll_receiver) = channel::bounded(1);
         let cluster =
             Self { shared: Mutex::new(shared), transport: OnceLock::new(), exchanges, polls };
-        (cluster, Work { exchanges: exchanges_received, polls: polls_received })
+        (cluster, Receivers { exchanges: exchange_receiver, polls: poll_receiver })
     }
 
-    /// Why the router may not serve yet, `None` when it may.
+    /// Reason why the router may not serve yet; `None` if it may.
     pub fn reason(&self, now: Instant) -> Option<NotServingReason> {
         let shared = self.lock();
-        shared.life.reason(now, &shared.membership.peers(now))
+        shared.lifecycle.reason(now, &shared.membership.peers(now))
     }
 
     /// How many live routers of each failure domain have installed `revision`.
@@ -114,23 +116,23 @@
         shared.membership.in_force(now, &shared.report(Vec::new()), revision)
     }
 
-    /// The routers heard from, with how alive they seem.
+    /// The known other routers, with their liveness.
     pub fn members(&self, now: Instant) -> Vec<(Member, Liveness)> {
         let shared = self.lock();
         shared.membership.members().map(|m| (m.clone(), m.liveness(now))).collect()
     }
 
-    /// Changes after `revision`; none while this router is behind it.
+    /// Changes after `revision`; empty while this router has not reached it.
     pub fn watch(&self, revision: u64) -> Result<Vec<Record>, Gone> {
         let shared = self.lock();
-        let store = shared.life.replicator().store();
+        let store = shared.lifecycle.replicator().store();
         if revision >= store.version().revision {
             return Ok(Vec::new());
         }
         Ok(store.watch(revision)?.cloned().collect())
     }
 
-    /// Calls `act` with the live routers, this one included.
+    /// Calls `act` with the live routers, including this one.
     pub fn with_routers<T>(&self, now: Instant, act: impl FnOnce(&[Router<'_>]) -> T) -> T {
         let shared = self.lock();
         let own = shared.membership.own();
@@ -141,12 +143,12 @@
         act(&routers)
     }
 
-    /// Bytes sent to other routers, and frames of theirs refused.
+    /// Number of bytes sent to other routers, and of frames refused from them.
     pub fn traffic(&self) -> (u64, u64) {
         self.transport.get().map_or((0, 0), |t| (t.sent_bytes(), t.refused()))
     }
 
-    /// Announces that this router leaves.
+    /// Marks this router as leaving; heartbeats announce it.
     pub fn leave(&self) {
         self.lock().membership.leave();
     }
@@ -158,20 +160,24 @@
 
 impl Shared {
     fn report(&self, payloads: Vec<crate::wire::message::Payload>) -> member::Report {
-        let spread = self.life.replicator();
-        member::Report { version: spread.store().version(), polled: spread.polled(), payloads }
+        let replicator = self.lifecycle.replicator();
+        member::Report {
+            version: replicator.store().version(),
+            polled: replicator.polled(),
+            payloads,
+        }
     }
 }
 
 impl Node {
-    /// Starts hearing other routers and deciding.
-    pub(super) fn start_cluster(self: &Arc<Self>, work: Work) -> Result<(), Error> {
+    /// Starts the transport and the threads.
+    pub(super) fn start_cluster(self: &Arc<Self>, receivers: Receivers) -> Result<(), Error> {
         self.start_transport()?;
         let node = Arc::downgrade(self);
-        let polls = work.polls;
+        let polls = receivers.polls;
         spawn("poll", move || poll(&node, &polls))?;
         for _ in 0..EXCHANGE_THREADS {
-            let (node, exchanges) = (Arc::downgrade(self), work.exchanges.clone());
+            let (node, exchanges) = (Arc::downgrade(self), receivers.exchanges.clone());
             spawn("exchange", move || exchange(&node, &exchanges))?;
         }
         let node = Arc::downgrade(self);
@@ -184,16 +190,16 @@
         })
     }
 
-    /// Puts a change in force that was committed here, and tells the peers.
+    /// Installs a change that was committed here, and sends it to the peers.
     pub(super) fn install_committed(&self, committed: &Committed) {
         let now = self.clock.now();
         self.decide(|shared| {
             let peers = shared.membership.peers(now);
-            shared.life.replicator_mut().install_progress(&committed.progress, &peers)
+            shared.lifecycle.replicator_mut().install_progress(&committed.progress, &peers)
         });
     }
 
-    /// Sends what is due and decides what to fetch.
+    /// Sends the heartbeats and reports that are due, and advances replication.
     pub(super) fn tick_cluster(&self) {
         let now = self.clock.now();
         let mut shared = self.cluster.lock();
@@ -202,7 +208,7 @@
         let Shared { membership, rng, .. } = &mut *shared;
         let sends = membership.tick(now, &report, rng);
         let incarnation = membership.own().incarnation;
-        self.note_liveness(&mut shared, now);
+        self.log_liveness(&mut shared, now);
         let demand = self.demand(&mut shared, now);
         let routers = shared.membership.alive(now).count() + 1;
         drop(shared);
@@ -211,7 +217,7 @@
         self.lock_health().set_routers(routers);
         if let Some(transport) = self.cluster.transport.get() {
             transport.set_incarnation(incarnation);
-            // Whoever is not reached counts as silent in time.
+            // A peer that cannot be reached is detected by its missing heartbeats.
             for send in sends {
                 let _ = transport.send(send.to, Message::Heartbeat(send.heartbeat));
             }
@@ -223,22 +229,22 @@
         }
         self.decide(|shared| {
             let peers = shared.membership.peers(now);
-            let Shared { life, rng, .. } = shared;
-            let actions = life.replicator_mut().tick(now, &peers, rng);
-            if life.try_serve(now, &peers) {
-                let revision = life.replicator().store().version().revision;
+            let Shared { lifecycle, rng, .. } = shared;
+            let actions = lifecycle.replicator_mut().tick(now, &peers, rng);
+            if lifecycle.try_serve(now, &peers) {
+                let revision = lifecycle.replicator().store().version().revision;
                 emit!(self.log, Event::NodeReady, "revision" => revision);
             }
             actions
         });
     }
 
-    /// Makes a decision on the configuration, installs what follows and
-    /// starts the calls that it asks for.
+    /// Makes a decision on the configuration, installs a new version if there
+    /// is one, and starts the resulting calls.
     fn decide(&self, decide: impl FnOnce(&mut Shared) -> Vec<Action>) {
         let mut shared = self.cluster.lock();
         let actions = decide(&mut shared);
-        let store = shared.life.replicator().store();
+        let store = shared.lifecycle.replicator().store();
         if store.version() != self.installed.load().state().version() {
             self.install(store.state().clone());
         }
@@ -249,10 +255,10 @@
     }
 
     fn start_action(&self, action: Action) {
-        // A full queue delays an exchange until its next repetition.
+        // If the queue is full, the exchange is dropped; it is repeated later.
         match action {
             Action::Poll(state) => {
-                self.cluster.polls.send(state).expect("the polling thread outlives the router");
+                self.cluster.polls.send(state).expect("the poll thread runs as long as the router");
             }
             Action::Pull(peer, request) => {
                 let _ = self.cluster.exchanges.try_send(Exchange::Pull(peer, request));
@@ -275,7 +281,7 @@
         let peer = &self.settings.peer;
         let Some(ring) = ring(&peer.keys) else { return Ok(()) };
         let node = Arc::downgrade(self);
-        let handler = move |frame| node.upgrade()?.take_frame(frame);
+        let handler = move |frame| node.upgrade()?.on_frame(frame);
         let own = self.cluster.lock().membership.own().clone();
         let transport =
             Transport::bind(peer.address, ring, own.node, own.incarnation, Box::new(handler))
@@ -285,28 +291,28 @@
                     error,
                 })?;
         let first = self.cluster.transport.set(transport).is_ok();
-        assert!(first, "a router starts its transport once");
+        assert!(first, "the transport was already started");
         Ok(())
     }
 
-    /// Takes in a frame and returns the answer, if it has one.
-    fn take_frame(&self, frame: Frame) -> Option<Message> {
+    /// Handles a received frame; returns the reply, if any.
+    fn on_frame(&self, frame: Frame) -> Option<Message> {
         match frame.message {
             Message::Heartbeat(mut heartbeat) if heartbeat.node == frame.sender => {
                 let now = self.clock.now();
                 let payloads = std::mem::take(&mut heartbeat.payloads);
                 let event = self.cluster.lock().membership.on_heartbeat(now, heartbeat);
-                self.note_heartbeat(&frame.sender, event);
+                self.handle_member_event(&frame.sender, event);
                 report::merge(self, &frame.sender, &payloads);
                 None
             }
             Message::Heartbeat(_) => None,
             Message::Request(request) => {
-                let reply = self.cluster.lock().life.replicator().answer(&request);
+                let reply = self.cluster.lock().lifecycle.replicator().answer(&request);
                 Some(Message::Reply(Bundle::from(&reply)))
             }
             Message::Reply(bundle) => {
-                self.take_reply(&frame.sender, &bundle);
+                self.on_reply(&frame.sender, &bundle);
                 None
             }
             Message::Reports(payloads) => {
@@ -316,14 +322,14 @@
         }
     }
 
-    fn take_reply(&self, peer: &Name, bundle: &Bundle) {
-        // A peer that sends what cannot be read is asked again later.
+    fn on_reply(&self, peer: &Name, bundle: &Bundle) {
+        // An unreadable reply is ignored; the request is repeated later.
         let Ok(reply) = Reply::try_from(bundle) else { return };
         let now = self.clock.now();
-        self.decide(|shared| shared.life.replicator_mut().on_reply(now, peer, reply));
+        self.decide(|shared| shared.lifecycle.replicator_mut().on_reply(now, peer, reply));
     }
 
-    fn note_heartbeat(&self, peer: &Name, event: member::Event) {
+    fn handle_member_event(&self, peer: &Name, event: member::Event) {
         let event = match event {
             member::Event::Joined => Event::MemberJoined,
             member::Event::Replaced => Event::MemberRestarted,
@@ -337,9 +343,9 @@
         emit!(self.log, event, "node" => peer.as_str());
     }
 
-    /// Logs which routers of the own domain have fallen silent or leave; those
-    /// of other domains are heard at random times only.
-    fn note_liveness(&self, shared: &mut Shared, now: Instant) {
+    /// Logs changes of the liveness of routers of the own domain. Heartbeats from
+    /// other domains arrive only at random times.
+    fn log_liveness(&self, shared: &mut Shared, now: Instant) {
         let own = self.settings.domain();
         let latest: BTreeMap<Name, Liveness> = shared
             .membership
@@ -348,7 +354,7 @@
             .map(|member| (member.heartbeat.node.clone(), member.liveness(now)))
             .collect();
         for (node, liveness) in &latest {
-            if shared.seen.get(node) == Some(liveness) {
+            if shared.last_liveness.get(node) == Some(liveness) {
                 continue;
             }
             let event = match liveness {
@@ -359,19 +365,19 @@
             };
             emit!(self.log, event, "node" => node.as_str());
         }
-        shared.seen = latest;
+        shared.last_liveness = latest;
     }
 
-    /// The demand to report now, and to whom.
+    /// The demand report and the peers to send it to, if one is due.
     fn demand(
         &self,
         shared: &mut Shared,
         now: Instant,
     ) -> Option<(Message, Vec<std::net::SocketAddr>)> {
-        if now.since(shared.reported) < share::REPORT_INTERVAL {
+        if now.since(shared.demand_reported_at) < share::REPORT_INTERVAL {
             return None;
         }
-        shared.reported = now;
+        shared.demand_reported_at = now;
         let alive = shared.membership.alive(now);
         let peers: Vec<_> = alive.map(|member| member.heartbeat.address).collect();
         let payload = report::demand(self, peers.len())?;
@@ -387,13 +393,14 @@
                 if let Ok(Some(Frame { sender, message: Message::Reply(bundle), .. })) = answer
                     && sender == peer
                 {
-                    self.take_reply(&peer, &bundle);
+                    self.on_reply(&peer, &bundle);
                 }
             }
             Exchange::Push(peer, records) => {
                 let Some(address) = self.peer_address(&peer) else { return };
                 let message = Message::Reply(Bundle::from(&Reply::Records(records)));
-                // Too long for a datagram, or else pulled after a heartbeat.
+                // Too long for a datagram. If this fails as well, the peer pulls the
+                // records after a heartbeat.
                 if transport.send(address, message.clone()).is_err() {
                     let _ = transport.request(address, message);
                 }
@@ -410,7 +417,7 @@
         let now = self.clock.now();
         self.decide(|shared| {
             let peers: Vec<Peer> = shared.membership.peers(now);
-            shared.life.replicator_mut().on_poll(now, result, &peers)
+            shared.lifecycle.replicator_mut().on_poll(now, result, &peers)
         });
     }
 }
@@ -429,10 +436,10 @@
     }
 }
 
-/// The first key signs; the second is accepted as well.
+/// The keys for messages: the first signs, the second is accepted as well.
 fn ring(keys: &[crate::settings::Key]) -> Option<Ring> {
     let mut keys = keys.iter().map(|key| {
-        Key::new(key.id, key.secret).expect("a checked key is longer than the least secret")
+        Key::new(key.id, key.secret).expect("settings validation checks the length of keys")
     });
     Some(Ring::new(keys.next()?, keys.next()))
 }
--- a/mimosashift/src/node/cluster/report.rs
+++ b/mimosashift/src/node/cluster/report.rs
@@ -1,4 +1,4 @@
-//! Small reports on endpoints and demand that routers exchange.
+//! Reports on endpoints and on demand that routers exchange.
 
 use std::time::Duration;
 
@@ -9,47 +9,48 @@
 use crate::time::Instant;
 use crate::wire::message::{MAX_PAYLOAD_BYTES, Payload};
 
-/// Tag of the state of endpoints.
+/// Payload tag of reports on endpoints.
 const HEALTH_TAG: u8 = 1;
 
-/// Tag of the demand of teams.
+/// Payload tag of reports on the demand of teams.
 const DEMAND_TAG: u8 = 2;
 
-/// Time between two looks at what is to be shared.
+/// Time between two updates of the reports on endpoints.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Age up to which a report on an endpoint is passed on.
+/// Maximum age of a report on an endpoint that is sent.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
 
-/// Most bytes of reports on endpoints in one heartbeat.
+/// Maximum size of the reports on endpoints in one heartbeat, in bytes.
 const MAX_HEALTH_BYTES: usize = MAX_PAYLOAD_BYTES - 32;
 
-/// What goes with the next heartbeat.
+/// The payloads of the next heartbeat.
 #[derive(Default)]
 pub struct Reports {
     payloads: Vec<Payload>,
-    refreshed: Instant,
-    /// Endpoint after which the next reports start, so that each has its turn.
-    last: Option<Name>,
+    refreshed_at: Instant,
+    /// Endpoint after which the next batch starts, so that all are sent in rotation.
+    last_sent: Option<Name>,
 }
 
 impl Reports {
-    /// The reports for a heartbeat at `now`.
+    /// The payloads for a heartbeat at `now`.
     pub fn payloads(&mut self, node: &Node, now: Instant) -> Vec<Payload> {
-        if now.since(self.refreshed) >= REFRESH_INTERVAL {
-            self.refreshed = now;
-            let share = node.lock_health().reports_since(now - MAX_REPORT_AGE);
-            self.payloads = self.health(share).into_iter().collect();
+        if now.since(self.refreshed_at) >= REFRESH_INTERVAL {
+            self.refreshed_at = now;
+            let batch = node.lock_health().reports_since(now - MAX_REPORT_AGE);
+            self.payloads = self.health(batch).into_iter().collect();
         }
         self.payloads.clone()
     }
 
-    /// As many reports as fit: endpoints that leave first, then in turn.
-    fn health(&mut self, share: ReportBatch) -> Option<Payload> {
-        let last = self.last.take();
-        let mut reports = share.reports;
-        reports
-            .sort_by_key(|r| (!r.leaving_state.is_leaving(), Some(&r.endpoint) <= last.as_ref()));
+    /// As many reports as fit: leaving endpoints first, the others in rotation.
+    fn health(&mut self, batch: ReportBatch) -> Option<Payload> {
+        let last_sent = self.last_sent.take();
+        let mut reports = batch.reports;
+        reports.sort_by_key(|r| {
+            (!r.leaving_state.is_leaving(), Some(&r.endpoint) <= last_sent.as_ref())
+        });
         let mut chosen: Vec<Report> = Vec::new();
         let mut bytes = 0;
         for report in reports {
@@ -59,15 +60,16 @@
             }
             chosen.push(report);
         }
-        self.last = chosen.last().map(|report| report.endpoint.clone());
-        let share = ReportBatch { reports: chosen };
-        (!share.reports.is_empty()).then(|| Payload { tag: HEALTH_TAG, bytes: encode(&share) })
+        self.last_sent = chosen.last().map(|report| report.endpoint.clone());
+        let batch = ReportBatch { reports: chosen };
+        (!batch.reports.is_empty()).then(|| Payload { tag: HEALTH_TAG, bytes: encode(&batch) })
     }
 }
 
-/// This router's demand for `peers` others; `None` when there is none to tell.
+/// The report of this router's demand to `peers` others; `None` if there is
+/// nothing to report.
 ///
-/// Also refills its shares and forgets idle teams and silent peers.
+/// Also refills the shares and removes idle teams and silent peers.
 pub fn demand(node: &Node, peers: usize) -> Option<Payload> {
     let report = node.gate.report(peers);
     let limited = node.gate.with(|admission| admission.limited_teams());
@@ -75,16 +77,16 @@
     (!idle).then(|| Payload { tag: DEMAND_TAG, bytes: encode(&report) })
 }
 
-/// Takes in the reports of another router; those that cannot be read, as
-/// from another release, are left out.
+/// Merges the reports of another router. Unreadable ones are skipped; another
+/// release may use another format.
 pub fn merge(node: &Node, peer: &Name, payloads: &[Payload]) {
     let now = node.clock.now();
     for payload in payloads {
         match payload.tag {
             HEALTH_TAG => {
-                if let Ok(share) = postcard::from_bytes::<ReportBatch>(&payload.bytes) {
-                    // Endpoints that are not installed here yet come again.
-                    let _ = node.lock_health().merge(&share, now);
+                if let Ok(batch) = postcard::from_bytes::<ReportBatch>(&payload.bytes) {
+                    // Reports on endpoints not installed here yet will be repeated.
+                    let _ = node.lock_health().merge(&batch, now);
                 }
             }
             DEMAND_TAG => {
--- a/mimosashift/src/node/drain.rs
+++ b/mimosashift/src/node/drain.rs
@@ -5,19 +5,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Least time between not being ready and no longer accepting, so that the
-/// balancer has looked in between.
-const BALANCER_TIME: Duration = Duration::from_secs(2);
+/// Minimum time between reporting not ready and closing the listener, so that
+/// the load balancer's readiness check notices in between.
+const MIN_NOT_READY_TIME: Duration = Duration::from_secs(2);
 
-/// Time without a new request after which the balancer has turned away.
-const QUIET_TIME: Duration = Duration::from_millis(500);
+/// Time without a new request after which the load balancer is taken to have
+/// stopped sending.
+const QUIET_PERIOD: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the arrivals.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between two checks of the number of arrivals.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Asks a router to shut down gracefully.
+/// Requests a graceful shutdown of a router.
 #[derive(Clone, Default)]
-pub struct Handle {
+pub struct DrainHandle {
     shared: Arc<Shared>,
 }
 
@@ -27,26 +28,26 @@
     changed: Condvar,
 }
 
-/// Whether a shutdown was asked for, and what still arrives.
+/// State of the shutdown, with a count of the requests that arrive.
 #[derive(Default)]
 pub struct Drain {
-    handle: Handle,
+    handle: DrainHandle,
     arrivals: AtomicU64,
 }
 
-impl Handle {
-    /// Starts the shutdown; further calls do nothing.
+impl DrainHandle {
+    /// Requests the shutdown; further calls have no effect.
     pub fn request(&self) {
         *self.lock() = true;
         self.shared.changed.notify_all();
     }
 
-    /// Whether the shutdown has started.
+    /// Whether the shutdown has been requested.
     pub fn is_requested(&self) -> bool {
         *self.lock()
     }
 
-    /// Waits until the shutdown is asked for.
+    /// Waits until the shutdown is requested.
     pub fn wait(&self) {
         let requested = self.shared.changed.wait_while(self.lock(), |requested| !*requested);
         drop(requested.expect("no holder of this lock panics"));
@@ -58,34 +59,34 @@
 }
 
 impl Drain {
-    /// Lets others ask for the shutdown.
-    pub fn handle(&self) -> Handle {
+    /// A handle that requests the shutdown.
+    pub fn handle(&self) -> DrainHandle {
         self.handle.clone()
     }
 
-    /// Whether the shutdown has started.
+    /// Whether the shutdown has been requested.
     pub fn is_requested(&self) -> bool {
         self.handle.is_requested()
     }
 
-    /// Notes that a request arrived.
-    pub fn note_arrival(&self) {
+    /// Counts a request that arrived.
+    pub fn record_arrival(&self) {
         self.arrivals.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Waits until the balancer has turned away, or for `limit`.
-    pub fn wait_quiet(&self, limit: Duration) {
+    /// Waits until the load balancer has stopped sending, at most for `limit`.
+    pub fn wait_until_quiet(&self, limit: Duration) {
         let start = Instant::now();
         let mut quiet_since = start;
-        let mut seen = self.arrivals.load(Ordering::Relaxed);
+        let mut last_arrivals = self.arrivals.load(Ordering::Relaxed);
         while start.elapsed() < limit {
-            thread::sleep(LOOK_INTERVAL);
+            thread::sleep(POLL_INTERVAL);
             let arrivals = self.arrivals.load(Ordering::Relaxed);
-            if arrivals != seen {
-                seen = arrivals;
+            if arrivals != last_arrivals {
+                last_arrivals = arrivals;
                 quiet_since = Instant::now();
             }
-            if start.elapsed() >= BALANCER_TIME && quiet_since.elapsed() >= QUIET_TIME {
+            if start.elapsed() >= MIN_NOT_READY_TIME && quiet_since.elapsed() >= QUIET_PERIOD {
                 return;
             }
         }
--- a/mimosashift/src/node/gate.rs
+++ b/mimosashift/src/node/gate.rs
@@ -1,4 +1,4 @@
-//! Holds each request's thread until admission lets it run.
+//! Blocks each request's thread until admission dispatches the request.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
@@ -10,34 +10,34 @@
 use crate::admit::share::Report;
 use crate::admit::{Action, Admission, Bounds, Refusal, Request, Ticket, Usage};
 
-/// Time between two looks whether a waiting caller is still there.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between two checks whether the caller of a waiting request is connected.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a request does not run; none of it ran.
+/// Reason why a request was not run at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
     /// Admission refused it.
     Refused {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
-        /// When another try may succeed.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
-    /// The caller went away while it waited.
-    Gone,
+    /// The caller disconnected while the request waited.
+    Disconnected,
 }
 
-/// The admission with the threads that wait for it.
+/// Admission, with the threads that wait for its decisions.
 pub struct Gate {
     clock: Clock,
     state: Mutex<State>,
 }
 
-/// The right to run one request; dropping it gives the slot back.
+/// Permission to run one request; dropping it releases the slot.
 pub struct Permit<'a> {
     gate: &'a Gate,
     ticket: Ticket,
-    /// What the request took, known at its end.
+    /// What the request used; set at its end.
     pub usage: Usage,
 }
 
@@ -53,47 +53,51 @@
         Self { clock, state: Mutex::new(State { admission, waiting: HashMap::new() }) }
     }
 
-    /// Waits until the request may run; `is_gone` says whether its caller has
-    /// left.
-    pub fn enter(
+    /// Waits until the request may run; `is_disconnected` tells whether its
+    /// caller has disconnected.
+    pub fn admit(
         &self,
         request: &Request<'_>,
         is_disconnected: impl Fn() -> bool,
     ) -> Result<Permit<'_>, Denied> {
-        let (sender, verdict) = channel::bounded(1);
-        let ticket = self.step(|admission, waiting, out| {
-            let ticket = admission.submit(self.clock.now(), request, out);
+        let (sender, decision) = channel::bounded(1);
+        let ticket = self.apply(|admission, waiting, actions| {
+            let ticket = admission.submit(self.clock.now(), request, actions);
             waiting.insert(ticket, sender);
             ticket
         });
         loop {
-            match verdict.recv_timeout(LOOK_INTERVAL) {
+            match decision.recv_timeout(POLL_INTERVAL) {
                 Ok(Ok(())) => return Ok(self.permit(ticket)),
                 Ok(Err(denied)) => return Err(denied),
                 Err(RecvTimeoutError::Disconnected) => {
-                    unreachable!("a waiting request keeps its sender until its verdict")
+                    unreachable!(
+                        "the sender of a waiting request is dropped only after its decision"
+                    )
                 }
-                Err(RecvTimeoutError::Timeout) if is_disconnected() && self.withdraw(ticket) => {
-                    return Err(Denied::Gone);
+                Err(RecvTimeoutError::Timeout)
+                    if is_disconnected() && self.cancel_queued(ticket) =>
+                {
+                    return Err(Denied::Disconnected);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
             }
         }
     }
 
-    /// Refuses what has become too late; to be called often.
+    /// Refuses requests whose deadline can no longer be met; to be called often.
     pub fn poll(&self) {
-        self.step(|admission, _, out| admission.poll(self.clock.now(), out));
+        self.apply(|admission, _, actions| admission.poll(self.clock.now(), actions));
     }
 
-    /// The demand to report to each of `peers` routers; forgets idle teams
+    /// The demand to report to each of `peers` routers; removes idle teams
     /// and silent peers.
     pub fn report(&self, peers: usize) -> Report {
         let now = self.clock.now();
         self.lock().admission.report(now, peers)
     }
 
-    /// Reads or changes what is shared with other routers.
+    /// Calls `act` with the admission state, under its lock.
     pub fn with<T>(&self, act: impl FnOnce(&mut Admission) -> T) -> T {
         act(&mut self.lock().admission)
     }
@@ -102,8 +106,8 @@
         Permit { gate: self, ticket, usage: Usage { tokens: 0, overloaded: false } }
     }
 
-    /// Takes a queued request back; false when its verdict is on the way.
-    fn withdraw(&self, ticket: Ticket) -> bool {
+    /// Cancels a queued request; returns false if it has already been decided.
+    fn cancel_queued(&self, ticket: Ticket) -> bool {
         let mut state = self.lock();
         let queued = state.admission.cancel(ticket);
         if queued {
@@ -112,8 +116,8 @@
         queued
     }
 
-    /// Runs one input and passes the verdicts on.
-    fn step<T>(
+    /// Applies one input to admission and sends its decisions to the waiting threads.
+    fn apply<T>(
         &self,
         input: impl FnOnce(
             &mut Admission,
@@ -121,19 +125,19 @@
             &mut Vec<Action>,
         ) -> T,
     ) -> T {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let mut state = self.lock();
         let State { admission, waiting } = &mut *state;
-        let result = input(admission, waiting, &mut out);
-        for action in out {
-            let (ticket, verdict) = match action {
+        let result = input(admission, waiting, &mut actions);
+        for action in actions {
+            let (ticket, decision) = match action {
                 Action::Dispatch(ticket) => (ticket, Ok(())),
                 Action::Refuse { ticket, refusal, retry_after } => {
                     (ticket, Err(Denied::Refused { refusal, retry_after }))
                 }
             };
             if let Some(waiter) = waiting.remove(&ticket) {
-                waiter.send(verdict).expect("a waiting thread holds its receiver");
+                waiter.send(decision).expect("a waiting thread keeps its receiver");
             }
         }
         result
@@ -147,6 +151,8 @@
 impl Drop for Permit<'_> {
     fn drop(&mut self) {
         let now = self.gate.clock.now();
-        self.gate.step(|admission, _, out| admission.release(now, self.ticket, self.usage, out));
+        self.gate.apply(|admission, _, actions| {
+            admission.release(now, self.ticket, self.usage, actions)
+        });
     }
 }
--- a/mimosashift/src/node/installed.rs
+++ b/mimosashift/src/node/installed.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, with what is derived from it.
+//! The installed configuration and the tables derived from it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,8 @@
 use crate::resource::{Endpoint, Engine, Kind, Name, Role, Snapshot, Spec};
 use crate::route::{self, Chain, Distances};
 
-/// One revision and its routing table; immutable, pinned by each request.
+/// One revision and its routing table. It is immutable; each request keeps the
+/// one that it started with.
 #[derive(Debug)]
 pub struct Installed {
     state: State,
@@ -18,9 +19,9 @@
 }
 
 impl Installed {
-    /// Derives the routing table of a revision.
-    pub fn new(state: State, domain: &Name, crossing: Duration) -> Self {
-        let distances = Distances::new(domain.clone(), crossing, BTreeMap::new());
+    /// Builds the routing table of a revision.
+    pub fn new(state: State, domain: &Name, cross_domain_latency: Duration) -> Self {
+        let distances = Distances::new(domain.clone(), cross_domain_latency, BTreeMap::new());
         let routes = route::Table::new(state.snapshot(), &distances, route::Settings::default());
         Self { state, routes, distances }
     }
@@ -45,12 +46,12 @@
         &self.distances
     }
 
-    /// Where an endpoint listens.
+    /// The address of an endpoint.
     pub fn address(&self, endpoint: &Name) -> Option<SocketAddr> {
         self.endpoint(endpoint).map(|endpoint| endpoint.address)
     }
 
-    /// What recovery costs on a chain.
+    /// The cost of recovery on a chain.
     pub fn recovery_cost(&self, chain: &Chain) -> Cost {
         let snapshot = self.snapshot();
         let pipeline = snapshot.pipeline(chain.pipeline()).expect("a chain's pipeline is declared");
--- a/mimosashift/src/node/mod.rs
+++ b/mimosashift/src/node/mod.rs
@@ -1,8 +1,7 @@
-//! One router: the shell around the decisions.
+//! One router process: the I/O shell around the decision logic.
 //!
 //! The shell owns clocks, threads, sockets and locks. Locks are taken in the
-//! order in which [`Node`] lists its tables, and never while a call to another
-//! process is under way.
+//! order given at [`Node`] and are never held during a call to another process.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -45,7 +44,7 @@
 mod sink;
 mod upkeep;
 
-pub use drain::Handle;
+pub use drain::DrainHandle;
 pub use settings::{Error, Settings};
 
 use clock::Clock;
@@ -56,26 +55,26 @@
 use postings::Postings;
 use relay::Cancel;
 
-/// Requests of operators handled at once, watches included.
+/// Maximum number of concurrent operator requests, watches included.
 const MAX_OPERATOR_REQUESTS: usize = 64;
 
-/// Requests run at once until the endpoints' answers say otherwise.
-const START_SLOTS: usize = 64;
+/// Initial concurrency limit; admission adapts it to the endpoints' load.
+const INITIAL_SLOTS: usize = 64;
 
-/// Cancellations that may wait for slow engines.
-const MAX_CANCELS: usize = 4_096;
+/// Maximum number of cancellations queued while engines are slow.
+const MAX_QUEUED_CANCELS: usize = 4_096;
 
-/// Threads that tell engines to drop work.
+/// Threads that send cancellations to engines.
 const CANCEL_THREADS: usize = 2;
 
-/// Bound on what is remembered of engines' prefix caches: a few MB.
+/// Limits on the record of engines' prefix caches; it takes a few MB.
 const AFFINITY: affinity::Settings =
     affinity::Settings { prefixes: 16_384, expiry: Duration::from_secs(300) };
 
-/// The shared tables of a router.
+/// The shared state of a router.
 ///
 /// Lock order: `cluster`, `gate`, `health`, `affinity`, `budget`. `installed` is read without a
-/// lock, and a request keeps the one that admitted it.
+/// lock; a request uses the same configuration from admission to its end.
 pub struct Node {
     settings: Settings,
     log: Logger,
@@ -95,7 +94,7 @@
     budget: Mutex<Budget>,
 }
 
-/// A router that serves.
+/// A running router.
 pub struct Running {
     node: Arc<Node>,
     callers: Server,
@@ -105,56 +104,56 @@
 impl Running {
     /// Starts a router.
     pub fn start(settings: Settings, log: Logger) -> Result<Self, Error> {
-        let (cancels, cancelled) = channel::bounded(MAX_CANCELS);
-        let (node, work) = Node::new(settings, log, cancels)?;
+        let (cancels, cancel_receiver) = channel::bounded(MAX_QUEUED_CANCELS);
+        let (node, receivers) = Node::new(settings, log, cancels)?;
         let node = Arc::new(node);
         emit!(node.log, Event::NodeStarted,
             "node" => node.settings.node.name.as_str(),
             "domain" => node.settings.node.domain.as_str());
         for _ in 0..CANCEL_THREADS {
-            let (engines, cancelled) = (node.engines.clone(), cancelled.clone());
+            let (engines, cancel_receiver) = (node.engines.clone(), cancel_receiver.clone());
             thread::Builder::new()
                 .name("cancel".to_owned())
-                .spawn(move || send_cancels(&engines, &cancelled))?;
+                .spawn(move || send_cancels(&engines, &cancel_receiver))?;
         }
         upkeep::start(&node)?;
-        node.start_cluster(work)?;
+        node.start_cluster(receivers)?;
         probes::start(&node)?;
-        postings::start_upkeep(&node)?;
-        let callers = node.listen("callers", Arc::new(callers::Surface(Arc::clone(&node))))?;
+        postings::start_background_tasks(&node)?;
+        let callers = node.listen("callers", Arc::new(callers::Api(Arc::clone(&node))))?;
         let operators =
-            node.listen("operators", Arc::new(operators::Surface::new(Arc::clone(&node))))?;
+            node.listen("operators", Arc::new(operators::Api::new(Arc::clone(&node))))?;
         Ok(Self { node, callers, operators })
     }
 
-    /// Where callers connect.
+    /// Address of the caller API.
     pub const fn callers(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where operators connect.
+    /// Address of the operator API.
     pub const fn operators(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// The shared tables.
+    /// The shared state.
     pub fn node(&self) -> &Node {
         &self.node
     }
 
-    /// Lets others ask for a graceful shutdown.
-    pub fn drain_handle(&self) -> Handle {
+    /// A handle that requests a graceful shutdown.
+    pub fn drain_handle(&self) -> DrainHandle {
         self.node.drain.handle()
     }
 
-    /// Serves until a graceful shutdown was asked for and has ended; returns
-    /// how many requests were cut off.
+    /// Serves until a graceful shutdown has been requested and is complete;
+    /// returns how many requests were cut off.
     pub fn wait(self) -> usize {
         let Self { node, callers, operators } = self;
         node.drain.handle().wait();
         emit!(node.log, Event::NodeDraining, "pending" => callers.pending());
         let end = Instant::now() + node.settings.node.drain;
-        node.drain.wait_quiet(end.saturating_duration_since(Instant::now()));
+        node.drain.wait_until_quiet(end.saturating_duration_since(Instant::now()));
         node.cluster.leave();
         node.tick_cluster();
         let cut_off = callers.shutdown(end.saturating_duration_since(Instant::now()));
@@ -175,15 +174,15 @@
         mut settings: Settings,
         log: Logger,
         cancels: Sender<Cancel>,
-    ) -> Result<(Self, cluster::Work), Error> {
+    ) -> Result<(Self, cluster::Receivers), Error> {
         let clock = Clock::new();
         let platform = Guard::new(Arc::clone(&settings.table), clock, log.clone());
         settings.table = Arc::new(platform.with_class(Class::Config));
         let postings = Postings::start(&platform.with_class(Class::Posting), clock, &log)?;
-        let (cluster, work) = Cluster::new(&settings, clock.now());
+        let (cluster, receivers) = Cluster::new(&settings, clock.now());
         let client = Arc::new(Client::new(client::Settings::default()));
-        let crossing = settings.peer.cross_domain_latency;
-        let installed = Installed::new(State::default(), settings.domain(), crossing);
+        let cross_domain_latency = settings.peer.cross_domain_latency;
+        let installed = Installed::new(State::default(), settings.domain(), cross_domain_latency);
         let node = Self {
             log,
             clock,
@@ -196,21 +195,21 @@
             postings,
             installed: ArcSwap::from_pointee(installed),
             cluster,
-            gate: Gate::new(bounds(&settings), clock),
+            gate: Gate::new(admission_bounds(&settings), clock),
             health: Mutex::new(Registry::new(health::Settings::default())),
             affinity: Mutex::new(Affinity::new(AFFINITY)),
             budget: Mutex::new(Budget::new(BudgetSettings::default(), clock.now())),
             settings,
         };
-        Ok((node, work))
+        Ok((node, receivers))
     }
 
-    /// The configuration in force here.
+    /// The configuration installed here.
     fn installed(&self) -> Arc<Installed> {
         self.installed.load_full()
     }
 
-    /// Why the router takes no new work, `None` when it does.
+    /// Reason why the router accepts no new work; `None` if it does.
     fn not_ready(&self) -> Option<Problem> {
         let detail = if self.drain.is_requested() {
             "the router is shutting down".to_owned()
@@ -220,21 +219,21 @@
         Some(Problem::not_run(StatusCode::SERVICE_UNAVAILABLE, "not-ready", detail))
     }
 
-    /// Why nothing can be looked up: no configuration has been fetched yet.
-    fn without_configuration(&self) -> Option<Problem> {
+    /// The problem to respond with until a first configuration is installed.
+    fn config_missing(&self) -> Option<Problem> {
         let empty = self.installed.load().state().version().revision == 0;
         if empty { self.not_ready() } else { None }
     }
 
-    /// Puts a configuration in force, unless a later one is.
+    /// Installs a configuration, unless the same or a later revision is installed.
     fn install(&self, state: State) {
-        let crossing = self.settings.peer.cross_domain_latency;
+        let cross_domain_latency = self.settings.peer.cross_domain_latency;
         let mut health = self.lock_health();
         let revision = state.version().revision;
         if revision <= self.installed.load().state().version().revision {
             return;
         }
-        let installed = Installed::new(state, self.settings.domain(), crossing);
+        let installed = Installed::new(state, self.settings.domain(), cross_domain_latency);
         health.install(installed.snapshot(), installed.distances());
         self.installed.store(Arc::new(installed));
         drop(health);
@@ -270,19 +269,19 @@
     }
 }
 
-/// Bounds of the queue: half of the requests may wait while the others run.
-fn bounds(settings: &Settings) -> Bounds {
+/// Admission limits: up to half of the requests may wait while the others run.
+fn admission_bounds(settings: &Settings) -> Bounds {
     let requests = settings.limits.max_requests;
     Bounds {
         queued: (requests / 2).max(1),
         queued_bytes: settings.queue_bytes,
-        start_slots: START_SLOTS.min(requests),
+        start_slots: INITIAL_SLOTS.min(requests),
         max_slots: requests.div_ceil(2),
     }
 }
 
-fn send_cancels(engines: &engine::http::Adapter, cancelled: &Receiver<Cancel>) {
-    for cancel in cancelled {
+fn send_cancels(engines: &engine::http::Adapter, cancel_receiver: &Receiver<Cancel>) {
+    for cancel in cancel_receiver {
         engines.cancel(cancel.endpoint, cancel.request, cancel.attempt);
     }
 }
--- a/mimosashift/src/node/operators/commands.rs
+++ b/mimosashift/src/node/operators/commands.rs
@@ -1,9 +1,9 @@
-//! What operators order.
+//! Commands of operators: changes of resources, and shutdown.
 
 use hyper::{Method, StatusCode};
 use serde_json::json;
 
-use super::{Answer, Reply, invalid, parse_kind, parse_name};
+use super::{Reply, ReplyResult, invalid, parse_kind, parse_name};
 use crate::config::change::Commit;
 use crate::config::{self, Change, ChangeId, Precondition, call};
 use crate::emit;
@@ -19,8 +19,14 @@
     Reply { status: StatusCode::ACCEPTED, revision: None, body: json!({"draining": true}) }
 }
 
-/// Commits a change and puts it in force here.
-pub fn change(node: &Node, request: &Request, operator: String, kind: &str, name: &str) -> Answer {
+/// Commits a change of a resource and installs it on this router.
+pub fn change(
+    node: &Node,
+    request: &Request,
+    operator: String,
+    kind: &str,
+    name: &str,
+) -> ReplyResult {
     let (kind, name) = (parse_kind(kind)?, parse_name(name)?);
     let spec = match request.method {
         Method::DELETE => None,
@@ -51,7 +57,7 @@
         Err(error) => {
             let event = if error.not_run() { Event::ConfigRefused } else { Event::ConfigUnknown };
             emit!(node.log, event, "change" => id.to_string(), "reason" => error.to_string());
-            Err(refused(&error))
+            Err(change_problem(&error))
         }
     }
 }
@@ -68,8 +74,8 @@
     })
 }
 
-/// The problem that tells why a change failed.
-pub fn refused(error: &config::Error) -> Problem {
+/// The problem for a failed change.
+pub fn change_problem(error: &config::Error) -> Problem {
     let (status, code) = match error {
         config::Error::Precondition { .. } | config::Error::Contended { .. } => {
             (StatusCode::PRECONDITION_FAILED, "conflict")
--- a/mimosashift/src/node/operators/mod.rs
+++ b/mimosashift/src/node/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operator surface: [`queries`], [`commands`] and [`watch`]es.
+//! The operator API: [`queries`], [`commands`] and [`watch`]es.
 
 use std::sync::Arc;
 
@@ -16,26 +16,26 @@
 mod queries;
 mod watch;
 
-/// Answers operators.
-pub struct Surface {
+/// Handles requests of operators.
+pub struct Api {
     node: Arc<Node>,
-    watches: watch::Slots,
+    watches: watch::WatchSlots,
 }
 
-/// An answer to an operator.
+/// A successful response to an operator.
 struct Reply {
     status: StatusCode,
-    /// Revision of the resource shown, if it is one.
+    /// Revision for the `ETag` header, if the body is a single resource.
     revision: Option<u64>,
     body: Value,
 }
 
-type Answer = Result<Reply, Problem>;
+type ReplyResult = Result<Reply, Problem>;
 
-impl Surface {
-    /// The operator surface of a router.
+impl Api {
+    /// The operator API of a router.
     pub fn new(node: Arc<Node>) -> Self {
-        Self { node, watches: watch::Slots::default() }
+        Self { node, watches: watch::WatchSlots::default() }
     }
 
     fn metrics(&self, responder: Responder) {
@@ -51,7 +51,7 @@
         }
     }
 
-    fn answer(&self, request: &Request) -> Answer {
+    fn route(&self, request: &Request) -> ReplyResult {
         let path = request.uri.path();
         match path {
             "/healthz" => return Ok(json!({}).into()),
@@ -60,14 +60,14 @@
         }
         let operator = self.operator(request)?;
         let node = &*self.node;
-        match (&request.method, parts(path).as_slice()) {
+        match (&request.method, path_segments(path).as_slice()) {
             (&Method::GET, ["status"]) => Ok(queries::status(node).into()),
             (&Method::GET, ["in-force"]) => queries::in_force(node, request),
             (&Method::GET, ["audit"]) => queries::audit(node, request),
             (&Method::GET, ["explain"]) => queries::explain(node, request),
-            (&Method::GET, ["postings"]) => reply(operate::list(node, request)),
+            (&Method::GET, ["postings"]) => into_reply(operate::list(node, request)),
             (&Method::POST, ["postings", "resolve"]) => {
-                reply(operate::resolve(node, request, &operator))
+                into_reply(operate::resolve(node, request, &operator))
             }
             (&Method::GET, [kind]) => queries::list(node, kind),
             (&Method::GET, [kind, name]) => queries::get(node, kind, name),
@@ -79,18 +79,19 @@
         }
     }
 
-    /// Who calls; without a configuration only the bootstrap token is known.
+    /// Name of the operator. Until a configuration is installed only the bootstrap
+    /// token is accepted.
     fn operator(&self, request: &Request) -> Result<String, Problem> {
         let installed = self.node.installed();
         let bootstrap = self.node.settings.bootstrap_digest.as_ref();
         let operator = auth::operator(request, installed.snapshot(), bootstrap);
-        operator.map_err(|refused| self.node.without_configuration().unwrap_or(refused))
+        operator.map_err(|problem| self.node.config_missing().unwrap_or(problem))
     }
 }
 
-impl Handler for Surface {
+impl Handler for Api {
     fn handle(&self, request: Request, responder: Responder) {
-        if request.method == Method::GET && parts(request.uri.path()) == ["watch"] {
+        if request.method == Method::GET && path_segments(request.uri.path()) == ["watch"] {
             return match self.operator(&request) {
                 Ok(_) => watch::run(&self.node, &self.watches, &request, responder),
                 Err(problem) => responder.problem(&problem),
@@ -99,7 +100,7 @@
         if request.uri.path() == "/metrics" {
             return self.metrics(responder);
         }
-        match self.answer(&request) {
+        match self.route(&request) {
             Ok(reply) => reply.send(responder),
             Err(problem) => responder.problem(&problem),
         }
@@ -122,18 +123,18 @@
     }
 }
 
-/// A status and body as an answer.
-fn reply(answered: Result<(StatusCode, Value), Problem>) -> Answer {
-    answered.map(|(status, body)| Reply { status, revision: None, body })
+/// Converts a status and body into a reply.
+fn into_reply(result: Result<(StatusCode, Value), Problem>) -> ReplyResult {
+    result.map(|(status, body)| Reply { status, revision: None, body })
 }
 
-/// The parts of a path below the API's root.
-fn parts(path: &str) -> Vec<&str> {
+/// The segments of a path below the API's root; empty for other paths.
+fn path_segments(path: &str) -> Vec<&str> {
     path.strip_prefix("/api/v1/").map_or(Vec::new(), |rest| rest.split('/').collect())
 }
 
-/// A query parameter that is a number.
-fn number<T: std::str::FromStr>(
+/// Parses a numeric query parameter.
+fn parse_number<T: std::str::FromStr>(
     request: &Request,
     name: &'static str,
 ) -> Result<Option<T>, Problem> {
--- a/mimosashift/src/node/operators/queries.rs
+++ b/mimosashift/src/node/operators/queries.rs
@@ -1,4 +1,4 @@
-//! What operators ask.
+//! Queries of operators.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
 
-use super::commands::refused;
-use super::{Answer, Reply, not_found, number, parse_kind, parse_name};
+use super::commands::change_problem;
+use super::{Reply, ReplyResult, not_found, parse_kind, parse_name, parse_number};
 use crate::config::audit::{Audit, Filter};
 use crate::config::{AuditEntry, ChangeId, Record, call};
 use crate::health::HealthView;
@@ -20,56 +20,56 @@
 use crate::resource::{Name, Resource};
 use crate::route::{Candidate, Refusal, RouteRequest, Sources};
 
-/// Entries of the audit trail unless a limit is given.
+/// Default number of audit entries in a response.
 const DEFAULT_AUDIT_LIMIT: usize = 100;
 
-/// Most entries of the audit trail in one answer.
+/// Maximum number of audit entries in a response.
 const MAX_AUDIT_LIMIT: usize = 1_000;
 
-/// Prompt tokens of an explained request unless given.
+/// Default number of prompt tokens of an explained request.
 const DEFAULT_PROMPT_TOKENS: u32 = 100;
 
-/// Tokens that an explained request generates.
+/// Number of tokens that an explained request generates.
 const OUTPUT_TOKENS: u32 = 100;
 
-/// Endpoints explained for each run of layers.
-const EXPLAINED: usize = 8;
+/// Maximum number of endpoints listed for each layer range.
+const MAX_EXPLAINED: usize = 8;
 
-/// Every resource of a kind.
-pub fn list(node: &Node, kind: &str) -> Answer {
+/// All resources of a kind, with their status.
+pub fn list(node: &Node, kind: &str) -> ReplyResult {
     let kind = parse_kind(kind)?;
     let installed = node.installed();
-    let mut forces = BTreeMap::new();
+    let mut in_force_counts = BTreeMap::new();
     let items: Vec<Value> = installed
         .snapshot()
         .list(kind)
         .map(|resource| {
-            let count = || count(node, resource.revision);
-            show(resource, forces.entry(resource.revision).or_insert_with(count))
+            let count = || in_force_json(node, resource.revision);
+            resource_json(resource, in_force_counts.entry(resource.revision).or_insert_with(count))
         })
         .collect();
     Ok(json!({"revision": installed.snapshot().revision(), "items": items}).into())
 }
 
 /// One resource with its status.
-pub fn get(node: &Node, kind: &str, name: &str) -> Answer {
+pub fn get(node: &Node, kind: &str, name: &str) -> ReplyResult {
     let (kind, name) = (parse_kind(kind)?, parse_name(name)?);
     let installed = node.installed();
     let found = installed.snapshot().get(kind, &name);
     let found =
         found.ok_or_else(|| not_found(format!("{kind} {:?} does not exist", name.as_str())))?;
-    let body = show(found, &count(node, found.revision));
+    let body = resource_json(found, &in_force_json(node, found.revision));
     Ok(Reply { status: StatusCode::OK, revision: Some(found.revision), body })
 }
 
 /// How many live routers have installed a revision.
-pub fn in_force(node: &Node, request: &Request) -> Answer {
+pub fn in_force(node: &Node, request: &Request) -> ReplyResult {
     let installed = node.installed().snapshot().revision();
-    let revision = number(request, "revision")?.unwrap_or(installed);
-    Ok(json!({"revision": revision, "domains": count(node, revision)}).into())
+    let revision = parse_number(request, "revision")?.unwrap_or(installed);
+    Ok(json!({"revision": revision, "domains": in_force_json(node, revision)}).into())
 }
 
-/// This router, those that it hears, and the endpoints.
+/// State of this router, the other routers it knows, and the endpoints.
 pub fn status(node: &Node) -> Value {
     let now = node.clock.now();
     let own = &node.settings.node;
@@ -89,13 +89,13 @@
         "ready": node.not_ready().is_none(),
         "queue": queue,
         "peers": {"sent_bytes": sent_bytes, "refused_frames": refused},
-        "members": members.iter().map(|(m, liveness)| member(m, *liveness)).collect::<Vec<_>>(),
-        "endpoints": endpoints(node, &installed),
+        "members": members.iter().map(|(m, liveness)| member_json(m, *liveness)).collect::<Vec<_>>(),
+        "endpoints": endpoints_json(node, &installed),
     })
 }
 
-/// The chain that a request would get, with the costs considered.
-pub fn explain(node: &Node, request: &Request) -> Answer {
+/// The chain that a request would get, with the candidates and their costs.
+pub fn explain(node: &Node, request: &Request) -> ReplyResult {
     let model = request.parameter("model").unwrap_or_default();
     let installed = node.installed();
     let (_, route) = installed
@@ -103,10 +103,10 @@
         .route(model)
         .ok_or_else(|| not_found(format!("no route has model {model:?}")))?;
     let version = installed.snapshot().pipeline(&route.pipeline).map_or(0, |p| p.version);
-    let ask = RouteRequest {
+    let route_request = RouteRequest {
         pipeline: &route.pipeline,
         version,
-        prompt_tokens: number(request, "prompt_tokens")?.unwrap_or(DEFAULT_PROMPT_TOKENS),
+        prompt_tokens: parse_number(request, "prompt_tokens")?.unwrap_or(DEFAULT_PROMPT_TOKENS),
         output_tokens: OUTPUT_TOKENS.min(route.max_tokens),
         adapter: None,
         prefixes: &[],
@@ -119,9 +119,12 @@
     let health = node.lock_health();
     let affinity = node.lock_affinity();
     let sources = Sources { health: &*health, affinity: &affinity };
-    let choice = installed.routes().choose(&ask, &sources, now, &mut rng).map_err(no_chain)?;
-    let candidates =
-        installed.routes().explain(&ask, &sources, now, EXPLAINED).map_err(no_chain)?;
+    let choice =
+        installed.routes().choose(&route_request, &sources, now, &mut rng).map_err(no_chain)?;
+    let candidates = installed
+        .routes()
+        .explain(&route_request, &sources, now, MAX_EXPLAINED)
+        .map_err(no_chain)?;
     let stages = choice.chain.stages().iter();
     let chain: Vec<Value> =
         stages.map(|s| json!({"layers": s.layers, "endpoint": s.endpoint})).collect();
@@ -129,28 +132,29 @@
         "model": model, "pipeline": route.pipeline, "version": version,
         "estimate_us": choice.estimate.as_micros() as u64,
         "chain": chain,
-        "candidates": candidates.iter().map(candidate).collect::<Vec<_>>(),
+        "candidates": candidates.iter().map(candidate_json).collect::<Vec<_>>(),
     })
     .into())
 }
 
 /// Entries of the audit trail, oldest first.
-pub fn audit(node: &Node, request: &Request) -> Answer {
-    let limit = number(request, "limit")?.unwrap_or(DEFAULT_AUDIT_LIMIT).clamp(1, MAX_AUDIT_LIMIT);
+pub fn audit(node: &Node, request: &Request) -> ReplyResult {
+    let limit =
+        parse_number(request, "limit")?.unwrap_or(DEFAULT_AUDIT_LIMIT).clamp(1, MAX_AUDIT_LIMIT);
     let filter = Filter {
-        after: number(request, "after")?.unwrap_or(0),
+        after: parse_number(request, "after")?.unwrap_or(0),
         kind: request.parameter("kind").map(parse_kind).transpose()?,
         name: request.parameter("name").map(parse_name).transpose()?,
         operator: request.parameter("operator").map(str::to_owned),
         id: request.parameter("change").map(change_id).transpose()?,
     };
     let page = call::run(&*node.settings.table, Audit::new(filter, limit));
-    let page = page.map_err(|error| refused(&error))?;
-    let items: Vec<Value> = page.records.iter().map(entry).collect();
+    let page = page.map_err(|error| change_problem(&error))?;
+    let items: Vec<Value> = page.records.iter().map(audit_json).collect();
     Ok(json!({"items": items, "next": page.next}).into())
 }
 
-fn show(resource: &Resource, in_force: &Value) -> Value {
+fn resource_json(resource: &Resource, in_force: &Value) -> Value {
     json!({
         "kind": resource.spec.kind(),
         "name": resource.name,
@@ -160,7 +164,7 @@
     })
 }
 
-fn count(node: &Node, revision: u64) -> Value {
+fn in_force_json(node: &Node, revision: u64) -> Value {
     let domains = node.cluster.in_force(node.clock.now(), revision);
     let show = |InForce { installed, live }| json!({"installed": installed, "live": live});
     let shown =
@@ -168,7 +172,7 @@
     Value::Object(shown.collect())
 }
 
-fn member(member: &Member, liveness: Liveness) -> Value {
+fn member_json(member: &Member, liveness: Liveness) -> Value {
     let heartbeat = &member.heartbeat;
     json!({
         "node": heartbeat.node,
@@ -179,7 +183,7 @@
     })
 }
 
-fn endpoints(node: &Node, installed: &Installed) -> Vec<Value> {
+fn endpoints_json(node: &Node, installed: &Installed) -> Vec<Value> {
     let now = node.clock.now();
     let health = node.lock_health();
     let show = |name: &Name, domain: &Name| {
@@ -196,7 +200,7 @@
     installed.snapshot().endpoints().map(|(name, endpoint)| show(name, &endpoint.domain)).collect()
 }
 
-fn candidate(candidate: &Candidate) -> Value {
+fn candidate_json(candidate: &Candidate) -> Value {
     let estimate = candidate.estimate.map(|e| {
         json!({
             "wait_us": e.wait_us, "link_us": e.link_us,
@@ -213,7 +217,7 @@
     })
 }
 
-fn entry(record: &Record) -> Value {
+fn audit_json(record: &Record) -> Value {
     let entry = AuditEntry::from(record);
     json!({
         "revision": entry.revision,
--- a/mimosashift/src/node/outcome.rs
+++ b/mimosashift/src/node/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes of decisions as callers are told them.
+//! Maps refusals and outcomes to error responses and metrics.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::pipeline::{self, FailureCode, Outcome};
 use crate::route::Refusal;
 
-/// Time after which a chain that is missing now may be there.
-const NO_CHAIN_RETRY: Duration = Duration::from_secs(1);
+/// `Retry-After` for a request without a chain: one may become available.
+const NO_CHAIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The problem of a request that was not admitted.
-pub fn not_admitted(refusal: admit::Refusal, retry_after: Duration) -> Problem {
+/// The problem for a request that admission refused.
+pub fn admission_refused(refusal: admit::Refusal, retry_after: Duration) -> Problem {
     let (status, code, detail) = match refusal {
         admit::Refusal::Late => {
             let detail = "the deadline cannot be met";
@@ -32,16 +32,16 @@
     Problem::not_run(status, code, detail).with_retry_after(retry_after)
 }
 
-/// The problem of a request for which there is no chain.
+/// The problem for a request without a chain.
 pub fn no_chain(refusal: &Refusal) -> Problem {
     let (status, code) = match refusal {
         Refusal::UnknownAdapter { .. } => (StatusCode::BAD_REQUEST, "invalid"),
         _ => (StatusCode::SERVICE_UNAVAILABLE, "no-chain"),
     };
-    Problem::not_run(status, code, refusal.to_string()).with_retry_after(NO_CHAIN_RETRY)
+    Problem::not_run(status, code, refusal.to_string()).with_retry_after(NO_CHAIN_RETRY_AFTER)
 }
 
-/// The problem that an outcome stands for, if it is one.
+/// The problem for an outcome; `None` for success and cancellation.
 pub fn problem(outcome: &Outcome) -> Option<Problem> {
     let (effect, retry_after, status, code, detail) = match outcome {
         Outcome::Complete | Outcome::Cancelled => return None,
@@ -50,7 +50,7 @@
             (effect, None, StatusCode::GATEWAY_TIMEOUT, "deadline-exceeded", detail)
         }
         Outcome::Failed { code, effect, retry_after } => {
-            let (status, code, detail) = failed(*code);
+            let (status, code, detail) = failure_response(*code);
             (effect, *retry_after, status, code, detail)
         }
     };
@@ -64,7 +64,7 @@
     Some(problem)
 }
 
-const fn failed(code: FailureCode) -> (StatusCode, &'static str, &'static str) {
+const fn failure_response(code: FailureCode) -> (StatusCode, &'static str, &'static str) {
     match code {
         FailureCode::NoChain => {
             let detail = "no live endpoints hold every layer of the model";
@@ -82,8 +82,8 @@
     }
 }
 
-/// The outcome as it is counted.
-pub const fn counted(outcome: &Outcome) -> meter::Outcome {
+/// The outcome label of the request metrics.
+pub const fn outcome_metric(outcome: &Outcome) -> meter::Outcome {
     match outcome {
         Outcome::Complete => meter::Outcome::Completed,
         Outcome::Cancelled => meter::Outcome::Cancelled,
@@ -95,8 +95,8 @@
     }
 }
 
-/// The reason of a refusal as it is counted, by its code.
-pub fn counted_refusal(code: &str) -> meter::RefusalReason {
+/// The reason label of the refusal metrics, from the problem code.
+pub fn refusal_metric(code: &str) -> meter::RefusalReason {
     match code {
         "deadline-exceeded" => meter::RefusalReason::Late,
         "team-limit" => meter::RefusalReason::OverLimit,
--- a/mimosashift/src/node/platform.rs
+++ b/mimosashift/src/node/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's tables behind this router's budget and breaker.
+//! Access to the platform's tables through this router's budget and circuit
+//! breaker.
 //!
 //! See "Budget and breaker" in `docs/design/postings.md`.
 
@@ -16,29 +17,29 @@
 use crate::platform::budget::{Budget, Class};
 use crate::platform::{Key, Outcome, Page, Refusal, Row, Table, Transaction};
 
-/// Transactions a second that all routers together may make.
+/// Limit on transactions per second, for all routers together.
 const WRITES_PER_SECOND: u32 = 300;
 
-/// Reads a second that all routers together may make.
+/// Limit on reads per second, for all routers together.
 const READS_PER_SECOND: u32 = 1_500;
 
-/// Calls of one kind that a router may make at once after a pause.
+/// Maximum burst of reads, and of transactions, of a router.
 const BURST: u32 = 16;
 
-/// Longest time that a call waits for the budget.
-const MAX_WAIT: Duration = Duration::from_secs(1);
+/// Maximum time that a call waits for the budget.
+const MAX_BUDGET_WAIT: Duration = Duration::from_secs(1);
 
-/// Time between two looks at the budget.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// Time between two checks of the budget.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Row that a probe reads; it need not exist.
+/// Row that a probe reads; it does not need to exist.
 const PROBE_KEY: (&str, &str) = ("config", "head");
 
 /// The platform's tables for calls of one class.
 ///
-/// While the breaker is open, every call is refused at once as not done; only
-/// [`Guard::probe`] reaches the platform. A probe reads, so that no write of a
-/// caller is left in doubt by it.
+/// While the breaker is open, every call fails at once as not done; only
+/// [`Guard::probe`] reaches the platform. A probe is a read, so that it cannot
+/// leave the outcome of a caller's write unknown.
 #[derive(Clone)]
 pub struct Guard {
     shared: Arc<Shared>,
@@ -58,18 +59,18 @@
     writes: Budget,
     routers: u32,
     rng: Pcg64Mcg,
-    /// Whether the last call was held back by the budget.
-    held: bool,
+    /// Whether the budget was exhausted at the last call.
+    over_budget: bool,
 }
 
 #[derive(Clone, Copy)]
-enum Kind {
+enum CallKind {
     Read,
     Write,
 }
 
 impl Guard {
-    /// Guards `table`, for calls of class [`Class::Config`].
+    /// A guard of `table` for calls of class [`Class::Config`].
     pub fn new(table: Arc<dyn Table>, clock: Clock, log: Logger) -> Self {
         let now = clock.now();
         let state = State {
@@ -78,18 +79,19 @@
             writes: Budget::new(WRITES_PER_SECOND, 1, BURST, now),
             routers: 1,
             rng: Pcg64Mcg::seed_from_u64(rand::random()),
-            held: false,
+            over_budget: false,
         };
         let shared = Shared { table, clock, log, state: Mutex::new(state) };
         Self { shared: Arc::new(shared), class: Class::Config }
     }
 
-    /// The same tables, budget and breaker for calls of another class.
+    /// The same guard for calls of another class; tables, budget and breaker are
+    /// shared.
     pub fn with_class(&self, class: Class) -> Self {
         Self { shared: Arc::clone(&self.shared), class }
     }
 
-    /// Changes the number of live routers that share the platform's rate.
+    /// Sets the number of live routers that share the platform's limits.
     pub fn set_routers(&self, routers: u32) {
         let now = self.shared.clock.now();
         let mut state = self.lock();
@@ -98,12 +100,12 @@
         state.writes.set_routers(routers, now);
     }
 
-    /// The number of live routers that share the platform's rate.
+    /// The number of live routers that share the platform's limits.
     pub fn routers(&self) -> u32 {
         self.lock().routers
     }
 
-    /// Whether calls are refused because the platform fails.
+    /// Whether the breaker refuses calls because the platform fails.
     pub fn is_open(&self) -> bool {
         !self.lock().breaker.is_closed()
     }
@@ -111,16 +113,16 @@
     /// Takes the budget for one [`commit_taken`](Self::commit_taken), if any
     /// is left.
     pub fn take_write(&self) -> bool {
-        self.take(Kind::Write)
+        self.take(CallKind::Write)
     }
 
-    /// Commits a transaction whose budget was taken before.
+    /// Commits a transaction for which [`take_write`](Self::take_write) returned true.
     pub fn commit_taken(&self, transaction: &Transaction) -> Outcome<u64> {
         if self.is_open() {
             return Outcome::NotDone(Refusal::Unavailable);
         }
         let outcome = self.shared.table.commit(transaction);
-        self.report(is_failure(&outcome));
+        self.record_result(is_failure(&outcome));
         outcome
     }
 
@@ -136,21 +138,21 @@
         let (table, key) = PROBE_KEY;
         let key = Key { table: table.to_owned(), key: key.to_owned() };
         let outcome = self.shared.table.read(&key);
-        self.report(is_failure(&outcome));
+        self.record_result(is_failure(&outcome));
     }
 
     fn read_guarded<T>(&self, read: impl FnOnce(&dyn Table) -> Outcome<T>) -> Outcome<T> {
-        if let Err(refusal) = self.wait(Kind::Read) {
+        if let Err(refusal) = self.wait_for_budget(CallKind::Read) {
             return Outcome::NotDone(refusal);
         }
         let outcome = read(&*self.shared.table);
-        self.report(is_failure(&outcome));
+        self.record_result(is_failure(&outcome));
         outcome
     }
 
     /// Waits for the budget of one call.
-    fn wait(&self, kind: Kind) -> Result<(), Refusal> {
-        let end = self.shared.clock.now() + MAX_WAIT;
+    fn wait_for_budget(&self, kind: CallKind) -> Result<(), Refusal> {
+        let end = self.shared.clock.now() + MAX_BUDGET_WAIT;
         loop {
             if self.is_open() {
                 return Err(Refusal::Unavailable);
@@ -161,27 +163,27 @@
             if self.shared.clock.now() >= end {
                 return Err(Refusal::OverBudget);
             }
-            thread::sleep(LOOK_INTERVAL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    fn take(&self, kind: Kind) -> bool {
+    fn take(&self, kind: CallKind) -> bool {
         let now = self.shared.clock.now();
         let mut state = self.lock();
         let budget = match kind {
-            Kind::Read => &mut state.reads,
-            Kind::Write => &mut state.writes,
+            CallKind::Read => &mut state.reads,
+            CallKind::Write => &mut state.writes,
         };
         let taken = budget.take(self.class, now);
-        let was_held = std::mem::replace(&mut state.held, !taken);
+        let was_over_budget = std::mem::replace(&mut state.over_budget, !taken);
         drop(state);
-        if !taken && !was_held {
+        if !taken && !was_over_budget {
             emit!(self.shared.log, Event::OverBudget, "class" => format!("{:?}", self.class));
         }
         taken
     }
 
-    fn report(&self, failed: bool) {
+    fn record_result(&self, failed: bool) {
         let now = self.shared.clock.now();
         let mut state = self.lock();
         let was_closed = state.breaker.is_closed();
@@ -207,7 +209,7 @@
 
 impl Table for Guard {
     fn commit(&self, transaction: &Transaction) -> Outcome<u64> {
-        match self.wait(Kind::Write) {
+        match self.wait_for_budget(CallKind::Write) {
             Ok(()) => self.commit_taken(transaction),
             Err(refusal) => Outcome::NotDone(refusal),
         }
@@ -222,7 +224,8 @@
     }
 }
 
-/// Whether an outcome shows the platform failing; a refusal is an answer.
+/// Whether an outcome counts as a failure of the platform. Other refusals show
+/// that it responds.
 const fn is_failure<T>(outcome: &Outcome<T>) -> bool {
     matches!(outcome, Outcome::Unknown | Outcome::NotDone(Refusal::Unavailable))
 }
--- a/mimosashift/src/node/postings/mod.rs
+++ b/mimosashift/src/node/postings/mod.rs
@@ -1,9 +1,9 @@
-//! Calls to services that may not be repeated.
+//! Postings: calls to services that must not be repeated.
 //!
-//! A caller's thread sends its own call and waits; one thread runs the
-//! machines of all postings, and one commits their writes in groups. Work that
-//! follows an answer, such as recording it, needs no caller's thread. See
-//! `docs/design/postings.md`.
+//! The handler thread of a request sends the call itself and waits; one thread
+//! runs the state machines of all postings, and one commits their writes in
+//! batches. Work after the response, such as recording it, does not occupy a
+//! handler thread. See `docs/design/postings.md`.
 
 use std::io;
 use std::sync::Arc;
@@ -29,10 +29,10 @@
 use committer::Committer;
 use driver::{Driver, Input, Step};
 
-/// Time between two looks at what is unsettled during a shutdown.
+/// Time between two checks for unsettled claims during shutdown.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time between two looks whether the platform is to be probed.
+/// Time between two checks whether a probe of the platform is due.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The postings of a router.
@@ -43,21 +43,21 @@
 }
 
 impl Postings {
-    /// Starts the threads; they end with the router.
+    /// Starts the threads; they end when the router is dropped.
     pub fn start(guard: &Guard, clock: Clock, log: &Logger) -> io::Result<Self> {
         let (inputs, received) = channel::unbounded();
-        let (writes, waiting) = channel::unbounded();
+        let (writes, received_writes) = channel::unbounded();
         let (outcomes, committed) = channel::unbounded();
         let unsettled = Arc::new(AtomicUsize::new(0));
         let driver = Driver::new(clock, log.clone(), writes, Arc::clone(&unsettled));
-        let committer = Committer::new(guard.clone(), clock, waiting, outcomes);
+        let committer = Committer::new(guard.clone(), clock, received_writes, outcomes);
         spawn("postings", move || driver.run(&received, &committed))?;
         spawn("commits", move || committer.run())?;
         Ok(Self { inputs, next_id: AtomicU64::new(0), unsettled })
     }
 
-    /// Waits until every claim is settled, or for `limit`; returns how many
-    /// are not.
+    /// Waits up to `limit` until every claim is settled; returns how many are
+    /// not.
     pub fn settle(&self, limit: Duration) -> usize {
         let start = Monotonic::now();
         loop {
@@ -83,7 +83,7 @@
 }
 
 /// Starts the threads that probe a failing platform and delete old claims.
-pub fn start_upkeep(node: &Arc<super::Node>) -> io::Result<()> {
+pub fn start_background_tasks(node: &Arc<super::Node>) -> io::Result<()> {
     let weak = Arc::downgrade(node);
     spawn("probe", move || {
         while let Some(node) = weak.upgrade() {
--- a/mimosashift/src/node/postings/operate.rs
+++ b/mimosashift/src/node/postings/operate.rs
@@ -1,4 +1,4 @@
-//! What operators see and do about postings whose outcome is unknown.
+//! Operator API for postings whose outcome is unknown.
 
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
@@ -19,12 +19,12 @@
 /// Rows of one page of the table.
 const PAGE_ROWS: usize = 500;
 
-/// Most pages read for one answer.
+/// Maximum number of pages read for one response.
 const MAX_PAGES: usize = 20;
 
-type Answer = Result<(StatusCode, Value), Problem>;
+type ApiResult = Result<(StatusCode, Value), Problem>;
 
-/// An operator's finding.
+/// An operator's decision whether a call ran.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Finding {
@@ -34,7 +34,7 @@
     ran: bool,
 }
 
-/// What the audit trail keeps of a finding.
+/// Audit record of a finding.
 #[derive(Serialize)]
 struct Record<'a> {
     operator: &'a str,
@@ -43,24 +43,25 @@
     ran: bool,
 }
 
-/// Lists claims that wait for an operator, in order of key.
+/// Lists claims that an operator has to resolve, in order of their keys.
 ///
-/// The answer's `next` is the key to go on after; it is absent at the end.
-pub fn list(node: &Node, request: &Request) -> Answer {
+/// `next` in the response is the key to continue after; it is absent at the end.
+pub fn list(node: &Node, request: &Request) -> ApiResult {
     if request.parameter("state") != Some("unknown") {
         return Err(invalid("state must be unknown"));
     }
     let guard = node.platform.with_class(Class::Config);
     let unix_ms = node.clock.unix_ms();
-    let mut after = decode(request.parameter("after").unwrap_or(""));
+    let mut after = percent_decode(request.parameter("after").unwrap_or(""));
     let mut items = Vec::new();
     for _ in 0..MAX_PAGES {
         let page = match guard.scan(TABLE, "", &after, PAGE_ROWS) {
             Outcome::Done(page) => page,
             _ => return Err(unavailable()),
         };
-        items
-            .extend(resolve::unresolved(&page.rows, unix_ms).map(|(row, entry)| show(row, &entry)));
+        items.extend(
+            resolve::unresolved(&page.rows, unix_ms).map(|(row, entry)| claim_json(row, &entry)),
+        );
         let last = page.rows.last().filter(|_| page.more);
         let Some(last) = last else {
             return Ok((StatusCode::OK, json!({"items": items})));
@@ -73,8 +74,8 @@
     Ok((StatusCode::OK, json!({"items": items, "next": after})))
 }
 
-/// Records whether a call ran, with an audit record.
-pub fn resolve(node: &Node, request: &Request, operator: &str) -> Answer {
+/// Resolves a claim as run or not run, with an audit record.
+pub fn resolve(node: &Node, request: &Request, operator: &str) -> ApiResult {
     let finding: Finding =
         serde_json::from_slice(&request.body).map_err(|e| invalid(&e.to_string()))?;
     let guard = node.platform.with_class(Class::Config);
@@ -85,15 +86,16 @@
     let record = Record { operator, at_unix_ms: unix_ms, key: &finding.key, ran: finding.ran };
     let value = serde_json::to_string(&record).expect("a record has only string keys");
     let audit = Write::Put(Key { table: AUDIT_TABLE.to_owned(), key: id.clone() }, value);
-    let verdict = if finding.ran { Resolution::Ran } else { Resolution::NotRun };
-    let transaction = resolve::resolve(&row, verdict, audit, unix_ms).map_err(|e| refused(&e))?;
+    let resolution = if finding.ran { Resolution::Ran } else { Resolution::NotRun };
+    let transaction =
+        resolve::resolve(&row, resolution, audit, unix_ms).map_err(|e| conflict(&e))?;
     match guard.commit(&transaction) {
         Outcome::Done(_) => Ok(resolved(&id, &finding)),
         Outcome::NotDone(Refusal::Conflict(_)) => {
             Err(problem(StatusCode::CONFLICT, "conflict", "the posting has changed meanwhile"))
         }
         Outcome::NotDone(_) => Err(unavailable()),
-        // The audit record is written with the change or not at all.
+        // The audit record is in the same transaction, so it shows whether that was committed.
         Outcome::Unknown => match read(&guard, AUDIT_TABLE, &id) {
             Ok(Some(_)) => Ok(resolved(&id, &finding)),
             _ => {
@@ -112,7 +114,7 @@
     }
 }
 
-fn show(row: &Row, entry: &Entry) -> Value {
+fn claim_json(row: &Row, entry: &Entry) -> Value {
     json!({"key": row.key.key, "claimed_unix_ms": entry.unix_ms, "digest": entry.digest})
 }
 
@@ -120,11 +122,11 @@
     (StatusCode::OK, json!({"change": id, "key": finding.key, "ran": finding.ran}))
 }
 
-fn refused(error: &resolve::Error) -> Problem {
+fn conflict(error: &resolve::Error) -> Problem {
     problem(StatusCode::CONFLICT, "conflict", &error.to_string())
 }
 
-fn decode(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     percent_encoding::percent_decode_str(text).decode_utf8_lossy().into_owned()
 }
 
--- a/mimosashift/src/node/postings/send.rs
+++ b/mimosashift/src/node/postings/send.rs
@@ -1,4 +1,4 @@
-//! One call: sent by its caller's thread as the machine says.
+//! Sends the call of a posting from its handler thread, as the state machine directs.
 
 use std::time::Duration;
 
@@ -11,27 +11,27 @@
 use crate::http::{Request, Responder};
 use crate::node::Node;
 use crate::node::installed::Installed;
-use crate::node::services::{Target, exchange, pick};
+use crate::node::services::{Target, choose_endpoint, exchange};
 use crate::posting::{self, Body, CallResult, Delivery, Digest, Nonce, Reply, claim_key};
 use crate::resource::Name;
 use crate::time::Instant;
 
-/// Header that names a posting.
+/// Header with the key of a posting.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Header that marks a recorded answer.
+/// Header that marks a recorded response.
 const REPLAYED_HEADER: &str = "idempotency-replayed";
 
 /// Header with the SHA-256 digest of a body that was too large to record.
 const BODY_DIGEST_HEADER: &str = "idempotency-body-sha256";
 
-/// Headers of a service's answer that are kept with it.
-const KEPT_HEADERS: [&str; 4] = ["content-type", "content-language", "etag", "location"];
+/// Headers of a service's response that are recorded and forwarded.
+const RECORDED_HEADERS: [&str; 4] = ["content-type", "content-language", "etag", "location"];
 
-/// When to try again after the platform or the service could not be reached.
+/// `Retry-After` if the platform or the service could not be reached.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Sends a call at most once and answers its caller.
+/// Sends a call at most once and responds to its caller.
 pub fn post(
     node: &Node,
     installed: &Installed,
@@ -39,7 +39,7 @@
     request: &Request,
     responder: Responder,
 ) {
-    let attempt = match try_of(node, target, request) {
+    let attempt = match new_attempt(node, target, request) {
         Ok(attempt) => attempt,
         Err(problem) => return responder.problem(&problem),
     };
@@ -57,20 +57,20 @@
             Step::Answer(answer) => return respond(responder, answer, target, keyed, unreachable),
         }
     }
-    // The thread that runs the machines is gone.
+    // The thread that runs the state machines has ended.
     respond(responder, CallResult::Unknown, target, keyed, false);
 }
 
-/// What became of sending a call.
+/// Result of sending a call.
 #[derive(PartialEq, Eq)]
 enum Sent {
-    /// The service answered.
+    /// The service responded.
     Replied(Reply),
     /// No endpoint could be reached.
     NoEndpoint,
-    /// The time in which the call could be sent has passed.
+    /// The deadline for sending the call has passed.
     TooLate,
-    /// It was sent and its answer was lost.
+    /// It was sent, but no response was received.
     Lost,
 }
 
@@ -84,8 +84,8 @@
     }
 }
 
-/// The try that a caller's request stands for.
-fn try_of(
+/// Builds the attempt for a caller's request.
+fn new_attempt(
     node: &Node,
     target: &Target<'_>,
     request: &Request,
@@ -109,7 +109,7 @@
     })
 }
 
-/// Sends a call over a new connection to the best endpoint not tried yet.
+/// Sends a call over a new connection to the best endpoint not yet tried.
 fn send(
     node: &Node,
     installed: &Installed,
@@ -118,7 +118,7 @@
     before: Instant,
     tried: &mut Vec<Name>,
 ) -> Sent {
-    let Some((name, endpoint)) = pick(node, installed, target.service, tried) else {
+    let Some((name, endpoint)) = choose_endpoint(node, installed, target.service, tried) else {
         return Sent::NoEndpoint;
     };
     tried.push(name.clone());
@@ -133,11 +133,11 @@
 }
 
 fn reply(answer: Response) -> Reply {
-    let kept = |name: &&str| {
+    let header = |name: &&str| {
         let value = answer.header(name)?;
         Some(((*name).to_owned(), value.to_owned()))
     };
-    let headers = KEPT_HEADERS.iter().filter_map(kept).collect();
+    let headers = RECORDED_HEADERS.iter().filter_map(header).collect();
     Reply { status: answer.status.as_u16(), headers, body: Body::Whole(answer.body) }
 }
 
@@ -150,8 +150,8 @@
 ) {
     let service = target.service.as_str();
     let problem = match answer {
-        CallResult::Replied(reply) => return pass_on(responder, reply, false),
-        CallResult::Recorded(reply) => return pass_on(responder, reply, true),
+        CallResult::Replied(reply) => return forward_response(responder, reply, false),
+        CallResult::Recorded(reply) => return forward_response(responder, reply, true),
         CallResult::Ran => {
             let detail = "an operator resolved this call as run; its answer is not known";
             Problem::not_run(StatusCode::CONFLICT, "posting-ran", detail)
@@ -185,8 +185,8 @@
     responder.problem(&problem);
 }
 
-/// Passes a service's answer on to the caller.
-fn pass_on(responder: Responder, reply: Reply, replayed: bool) {
+/// Forwards a service's response, received now or recorded, to the caller.
+fn forward_response(responder: Responder, reply: Reply, replayed: bool) {
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let digest;
     let mut headers: Vec<(HeaderName, &str)> = Vec::new();
--- a/mimosashift/src/node/probes.rs
+++ b/mimosashift/src/node/probes.rs
@@ -1,8 +1,8 @@
-//! Looks at endpoints without being asked by a request.
+//! Active health probes of endpoints.
 //!
 //! Each endpoint is probed by one live router about once a second; the others
-//! hear of the result with heartbeats. One router of each failure domain reads
-//! the platform's list of virtual machines every second, the others seldom.
+//! receive the result with heartbeats. One router of each failure domain reads
+//! the platform's list of VMs every second, the others less often.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -25,22 +25,23 @@
 /// Time between two probes of an endpoint.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two reads of the list of virtual machines.
-const LIST_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two reads of the list of VMs.
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for a plain service to answer a probe.
+/// Timeout of a probe of a plain service.
 const SERVICE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Intervals between two reads of the list by the other routers.
-const INTERVALS_PER_SPARE_READ: u32 = 10;
+/// Number of intervals between two reads of the list by a router that is not
+/// its domain's reader.
+const INTERVALS_PER_BACKUP_READ: u32 = 10;
 
-/// Threads that probe.
-const THREADS: usize = 8;
+/// Threads that make probes.
+const PROBE_THREADS: usize = 8;
 
-/// Probes that may wait for slow endpoints.
-const MAX_WAITING: usize = 1_024;
+/// Maximum number of probes queued while endpoints are slow.
+const MAX_QUEUED_PROBES: usize = 1_024;
 
-/// Path of a plain service that is asked; any answer shows that it lives.
+/// Path of a probe of a plain service; any response counts as success.
 const SERVICE_PATH: &str = "/healthz";
 
 /// One endpoint to probe.
@@ -48,18 +49,18 @@
     name: Name,
     address: SocketAddr,
     engine: bool,
-    /// Number of the probe, rising within this process.
+    /// Number of the probe round, increasing within this process.
     sequence: u64,
 }
 
-/// Endpoints whose probe waits or is under way; locked for a look only.
+/// Endpoints whose probe is queued or running; never locked during a probe.
 type Pending = Arc<Mutex<HashSet<Name>>>;
 
-/// Starts the threads.
+/// Starts the probe threads and the periodic tasks that feed them.
 pub fn start(node: &Arc<Node>) -> Result<(), Error> {
-    let (sender, receiver) = channel::bounded(MAX_WAITING);
+    let (sender, receiver) = channel::bounded(MAX_QUEUED_PROBES);
     let pending = Pending::default();
-    for _ in 0..THREADS {
+    for _ in 0..PROBE_THREADS {
         let (node, receiver, pending) =
             (Arc::downgrade(node), receiver.clone(), Arc::clone(&pending));
         thread::Builder::new().name("probe".to_owned()).spawn(move || {
@@ -74,20 +75,20 @@
     let mut sequence = 0;
     upkeep::spawn(node, "probes", PROBE_INTERVAL, move |node| {
         sequence += 1;
-        submit(node, sequence, &sender, &pending);
+        queue_probes(node, sequence, &sender, &pending);
     })?;
     let mut intervals = 0;
-    upkeep::spawn(node, "machines", LIST_INTERVAL, move |node| {
-        intervals = (intervals + 1) % INTERVALS_PER_SPARE_READ;
-        if intervals == 0 || reads_list(node) {
-            read_list(node);
+    upkeep::spawn(node, "machines", VM_LIST_INTERVAL, move |node| {
+        intervals = (intervals + 1) % INTERVALS_PER_BACKUP_READ;
+        if intervals == 0 || is_list_reader(node) {
+            update_vm_list(node);
         }
     })
 }
 
-/// Hands out the probes of this router's endpoints, except those still under
-/// way.
-fn submit(node: &Node, sequence: u64, sender: &Sender<Target>, pending: &Pending) {
+/// Queues probes of the endpoints that this router is responsible for, except
+/// those whose last probe has not finished.
+fn queue_probes(node: &Node, sequence: u64, sender: &Sender<Target>, pending: &Pending) {
     for target in targets(node, sequence) {
         let name = target.name.clone();
         if lock(pending).insert(name.clone()) && sender.try_send(target).is_err() {
@@ -100,12 +101,12 @@
     let installed = node.installed();
     let own = node.settings.node.name.as_str();
     node.cluster.with_routers(node.clock.now(), |routers| {
-        let mine = |name: &Name, domain: &Name| {
+        let is_own = |name: &Name, domain: &Name| {
             probe::poller(name, domain, routers).is_some_and(|router| router.name == own)
         };
         let endpoints = installed.snapshot().endpoints();
         endpoints
-            .filter(|(name, endpoint)| mine(name, &endpoint.domain))
+            .filter(|(name, endpoint)| is_own(name, &endpoint.domain))
             .map(|(name, endpoint)| Target {
                 name: name.clone(),
                 address: endpoint.address,
@@ -120,14 +121,14 @@
     if target.engine { probe_engine(node, target) } else { probe_service(node, target) }
 }
 
-/// An engine that reports its load may still fail at steps, so the answer does
-/// not end a row of failures.
+/// An engine that reports its load may still fail at steps, so a response does
+/// not reset its consecutive failures.
 fn probe_engine(node: &Node, target: &Target) {
     let sent = node.clock.now();
-    let answer = node.engines.load(target.address);
+    let result = node.engines.load(target.address);
     let now = node.clock.now();
     let mut health = node.lock_health();
-    match answer {
+    match result {
         Ok(load) => health.record_poll(&target.name, load.incarnation, &load, target.sequence, now),
         Err(failure) => health.record_failure(&target.name, &failure, sent, now, &mut rng()),
     }
@@ -135,7 +136,7 @@
 
 fn probe_service(node: &Node, target: &Target) {
     let sent = node.clock.now();
-    let answer = node.client.call(&Call {
+    let result = node.client.call(&Call {
         address: target.address,
         method: Method::GET,
         path: SERVICE_PATH,
@@ -146,9 +147,9 @@
     });
     let now = node.clock.now();
     let mut health = node.lock_health();
-    match answer {
-        Ok(answer) => {
-            let bytes = answer.body.len() as u64;
+    match result {
+        Ok(response) => {
+            let bytes = response.body.len() as u64;
             let total = now.since(sent);
             let exchange = Exchange { layers: 0, tokens: 0, bytes, total, service: None };
             health.record_success(&target.name, &exchange, now);
@@ -159,8 +160,8 @@
     }
 }
 
-/// Whether this router reads the list for its failure domain.
-fn reads_list(node: &Node) -> bool {
+/// Whether this router is the one that reads the VM list for its failure domain.
+fn is_list_reader(node: &Node) -> bool {
     let domain = node.settings.domain();
     let own = node.settings.node.name.as_str();
     node.cluster.with_routers(node.clock.now(), |routers| {
@@ -168,8 +169,8 @@
     })
 }
 
-/// Takes in the list of virtual machines.
-fn read_list(node: &Node) {
+/// Reads the list of VMs and marks the endpoints on those that leave.
+fn update_vm_list(node: &Node) {
     let Some(machines) = &node.settings.machines else { return };
     let Outcome::Done(list) = machines.vms() else { return };
     let leaving: HashSet<SocketAddr> =
--- a/mimosashift/src/node/relay.rs
+++ b/mimosashift/src/node/relay.rs
@@ -1,7 +1,7 @@
-//! Runs the token pipeline of one request on the thread of its caller.
+//! Runs the token pipeline of one request on its handler thread.
 //!
-//! The machine decides; this module makes its exchanges one after the other
-//! and feeds their results back.
+//! The state machine in [`crate::pipeline`] decides; this module makes the
+//! exchanges it asks for, one after the other, and returns their results to it.
 
 use std::collections::VecDeque;
 use std::thread;
@@ -25,20 +25,20 @@
 use crate::route::{Chain, Choice, Refusal, RouteRequest, Sources, Stage};
 use crate::time::Instant;
 
-/// Bytes of headers around a step's body, for the estimate of link time.
+/// Size of the headers of a step, for the estimate of link time.
 const STEP_OVERHEAD_BYTES: u64 = 512;
 
-/// An engine's work for a request, to be dropped there.
+/// Cancellation of a request's work at an engine.
 pub struct Cancel {
     /// The engine.
     pub endpoint: std::net::SocketAddr,
     /// The request.
     pub request: RequestId,
-    /// The latest attempt to drop.
+    /// The latest attempt to cancel.
     pub attempt: u32,
 }
 
-/// What a caller wants of a model, checked.
+/// A validated request with the model that is to serve it.
 pub struct Job<'a> {
     /// The model.
     pub pipeline: &'a Name,
@@ -48,62 +48,64 @@
     pub request: Request,
 }
 
-/// How a request went.
-pub struct Done {
-    /// How it ended.
+/// Result of a request.
+pub struct RunResult {
+    /// The outcome.
     pub outcome: Outcome,
-    /// Recoveries on the way.
+    /// Number of recoveries.
     pub recovered: u32,
-    /// Whether an engine refused a step for load.
+    /// Whether an engine refused a step because of overload.
     pub overloaded: bool,
 }
 
-/// Estimates how long a request takes once it runs.
+/// Estimates the service time of a request.
 pub fn estimate(node: &Node, installed: &Installed, job: &Job<'_>) -> Result<Duration, Refusal> {
     let mut rng = Pcg64Mcg::seed_from_u64(rand::random());
     let adapter = job.request.adapter.as_ref();
-    choose(node, installed, &ask(job, adapter), &mut rng).map(|choice| choice.estimate)
+    choose(node, installed, &new_route_request(job, adapter), &mut rng)
+        .map(|choice| choice.estimate)
 }
 
-/// Runs a job; `emit` takes each token and says whether the caller is there.
+/// Runs a job. `on_token` is called for each token and returns false if the
+/// caller has disconnected.
 pub fn run(
     node: &Node,
     installed: &Installed,
     job: Job<'_>,
-    emit: &mut dyn FnMut(u32) -> bool,
-) -> Result<Done, Refusal> {
+    on_token: &mut dyn FnMut(u32) -> bool,
+) -> Result<RunResult, Refusal> {
     let mut rng = Pcg64Mcg::seed_from_u64(rand::random());
     let adapter = job.request.adapter.clone();
-    let ask = ask(&job, adapter.as_ref());
-    let chain = choose(node, installed, &ask, &mut rng)?.chain;
+    let route_request = new_route_request(&job, adapter.as_ref());
+    let chain = choose(node, installed, &route_request, &mut rng)?.chain;
     let cost = installed.recovery_cost(&chain);
     let mut relay = Relay {
         node,
         installed,
-        ask,
+        route_request,
         rng,
         chain: chain.clone(),
-        begun: Vec::new(),
+        active: Vec::new(),
         overloaded: false,
     };
-    relay.begin(&chain);
+    relay.update_active(&chain);
     let (machine, actions) = {
         let mut budget = node.lock_budget();
         let now = node.clock.now();
         let mut context = Context { now, rng: &mut relay.rng, budget: &mut budget };
         Machine::start(&mut context, job.request, chain, cost, TimeoutLimits::default())
     };
-    Ok(relay.drive(machine, actions, emit))
+    Ok(relay.drive(machine, actions, on_token))
 }
 
 struct Relay<'a> {
     node: &'a Node,
     installed: &'a Installed,
-    ask: RouteRequest<'a>,
+    route_request: RouteRequest<'a>,
     rng: Pcg64Mcg,
     chain: Chain,
-    /// Endpoints with work of this request, and since when.
-    begun: Vec<(Name, Instant)>,
+    /// Endpoints that have work of this request, and since when.
+    active: Vec<(Name, Instant)>,
     overloaded: bool,
 }
 
@@ -112,15 +114,15 @@
         mut self,
         mut machine: Machine,
         actions: Actions,
-        emit: &mut dyn FnMut(u32) -> bool,
-    ) -> Done {
+        on_token: &mut dyn FnMut(u32) -> bool,
+    ) -> RunResult {
         let mut queue: VecDeque<Action> = actions.into_iter().collect();
         let mut outcome = None;
         loop {
             while let Some(action) = queue.pop_front() {
                 match action {
-                    Action::Finish(how) => outcome = Some(how),
-                    Action::Emit(token) if !emit(token) => queue.extend(machine.cancel()),
+                    Action::Finish(finished) => outcome = Some(finished),
+                    Action::Emit(token) if !on_token(token) => queue.extend(machine.cancel()),
                     Action::Emit(_) => {}
                     Action::CancelEngine { endpoint, request, attempt } => {
                         self.cancel(&endpoint, request, attempt);
@@ -131,18 +133,18 @@
             if let Some(outcome) = outcome {
                 return self.finish(&machine, outcome);
             }
-            let next = machine.next_deadline().expect("a machine that has not finished waits");
+            let next = machine.next_deadline().expect("an unfinished machine has a deadline");
             thread::sleep(next.since(self.node.clock.now()));
-            queue.extend(self.input(|context| machine.on_timer(context)));
+            queue.extend(self.step_machine(|context| machine.on_timer(context)));
         }
     }
 
-    /// Performs an action that has an answer, and hands the answer in.
+    /// Performs an action and passes its result to the state machine.
     fn perform(&mut self, machine: &mut Machine, action: Action) -> Actions {
         match action {
             Action::Send { endpoint, step, timeout } => {
-                let answer = self.exchange(&endpoint, &step, timeout);
-                self.input(|context| match answer {
+                let result = self.exchange(&endpoint, &step, timeout);
+                self.step_machine(|context| match result {
                     Ok(reply) => machine.on_reply(context, &endpoint, reply),
                     Err(failure) => {
                         machine.on_failure(context, &endpoint, &step.label, &failure, None)
@@ -151,22 +153,22 @@
             }
             Action::Import { from, to, label, timeout } => {
                 let result = self.import(&from, &to, &label, timeout);
-                self.input(|context| {
+                self.step_machine(|context| {
                     machine.on_import(context, &to, &label, result.as_ref().copied())
                 })
             }
             Action::NeedChain { avoid, scope } => {
-                let replacement = self.replace(&avoid, scope);
-                self.input(|context| machine.on_chain(context, replacement))
+                let replacement = self.choose_replacement(&avoid, scope);
+                self.step_machine(|context| machine.on_chain(context, replacement))
             }
-            // Hedges are off: one exchange is made at a time.
+            // Hedging is not supported here: exchanges are made one at a time.
             Action::NeedHedge { .. } => Actions::new(),
             Action::Emit(_) | Action::CancelEngine { .. } | Action::Finish(_) => Actions::new(),
         }
     }
 
-    /// Hands an input to the machine. The lock is held for a decision only.
-    fn input(&mut self, input: impl FnOnce(&mut Context<'_>) -> Actions) -> Actions {
+    /// Passes an input to the state machine. The lock is held only for the decision.
+    fn step_machine(&mut self, input: impl FnOnce(&mut Context<'_>) -> Actions) -> Actions {
         let mut budget = self.node.lock_budget();
         let now = self.node.clock.now();
         input(&mut Context { now, rng: &mut self.rng, budget: &mut budget })
@@ -182,11 +184,11 @@
         let Some(address) = self.installed.address(endpoint) else {
             return Err(Failure::Unreachable("the endpoint is not declared".to_owned()));
         };
-        let answer = self.node.engines.step(address, step, timeout);
-        self.overloaded |= answer == Err(Failure::Overloaded);
+        let result = self.node.engines.step(address, step, timeout);
+        self.overloaded |= result == Err(Failure::Overloaded);
         let now = self.node.clock.now();
         let mut health = self.node.lock_health();
-        match &answer {
+        match &result {
             Ok(reply) => {
                 let exchange = Exchange {
                     layers: step.label.layers.count(),
@@ -199,7 +201,7 @@
             }
             Err(failure) => health.record_failure(endpoint, failure, sent, now, &mut self.rng),
         }
-        answer
+        result
     }
 
     fn import(
@@ -216,43 +218,44 @@
         self.node.engines.import(to, &import, timeout)
     }
 
-    /// Chooses a chain without the avoided endpoints, keeping what it can.
-    fn replace(&mut self, avoid: &[Name], scope: Scope) -> Option<Replacement> {
+    /// Chooses a chain without the avoided endpoints. Within a range, the other
+    /// stages are kept if possible.
+    fn choose_replacement(&mut self, avoid: &[Name], scope: Scope) -> Option<Replacement> {
         let old = self.chain.clone();
         let kept: SmallVec<[Stage; 8]> = match scope {
             Scope::Whole => SmallVec::new(),
             Scope::Range(lost) => {
-                let stays = |s: &&Stage| s.layers != lost && !avoid.contains(&s.endpoint);
-                old.stages().iter().filter(stays).cloned().collect()
+                let is_kept = |s: &&Stage| s.layers != lost && !avoid.contains(&s.endpoint);
+                old.stages().iter().filter(is_kept).cloned().collect()
             }
         };
-        let ask = RouteRequest { avoid, kept: &kept, ..self.ask };
-        let ask_whole = RouteRequest { avoid, ..self.ask };
-        let chain = choose(self.node, self.installed, &ask, &mut self.rng)
-            .or_else(|_| choose(self.node, self.installed, &ask_whole, &mut self.rng))
+        let route_request = RouteRequest { avoid, kept: &kept, ..self.route_request };
+        let whole_chain_request = RouteRequest { avoid, ..self.route_request };
+        let chain = choose(self.node, self.installed, &route_request, &mut self.rng)
+            .or_else(|_| choose(self.node, self.installed, &whole_chain_request, &mut self.rng))
             .ok()?
             .chain;
         let now = self.node.clock.now();
         let health = self.node.lock_health();
-        let readable =
+        let is_reachable =
             |name: &Name| health.condition(name, now).availability != Availability::Unreachable;
         let stages = old.stages().iter();
-        let holders = stages.map(|s| s.endpoint.clone()).filter(readable).collect();
+        let holders = stages.map(|s| s.endpoint.clone()).filter(is_reachable).collect();
         drop(health);
         emit!(self.node.log, Event::StageMoved, "scope" => format!("{scope:?}"));
-        self.begin(&chain);
+        self.update_active(&chain);
         self.chain = chain.clone();
         let cost = self.installed.recovery_cost(&chain);
         Some(Replacement { chain, holders, cost })
     }
 
-    /// Counts this request's work at the endpoints of a chain, and no longer
-    /// at those that it has left.
-    fn begin(&mut self, chain: &Chain) {
+    /// Counts this request at the endpoints of a chain, and no longer at those
+    /// that are not part of it.
+    fn update_active(&mut self, chain: &Chain) {
         let now = self.node.clock.now();
         let mut health = self.node.lock_health();
         let mut kept = Vec::new();
-        for (name, since) in self.begun.drain(..) {
+        for (name, since) in self.active.drain(..) {
             if chain.stages().iter().any(|stage| stage.endpoint == name) {
                 kept.push((name, since));
             } else {
@@ -265,19 +268,19 @@
                 kept.push((stage.endpoint.clone(), now));
             }
         }
-        self.begun = kept;
+        self.active = kept;
     }
 
     fn cancel(&self, endpoint: &Name, request: RequestId, attempt: u32) {
         if let Some(endpoint) = self.installed.address(endpoint) {
-            // A full queue costs the engine memory until its own expiry.
+            // If the queue is full, the engine keeps the memory until it expires.
             let _ = self.node.cancels.try_send(Cancel { endpoint, request, attempt });
         }
     }
 
-    fn finish(self, machine: &Machine, outcome: Outcome) -> Done {
+    fn finish(self, machine: &Machine, outcome: Outcome) -> RunResult {
         let mut health = self.node.lock_health();
-        for (name, since) in &self.begun {
+        for (name, since) in &self.active {
             health.end(name, *since);
         }
         drop(health);
@@ -285,11 +288,11 @@
         if dropped > 0 {
             emit!(self.node.log, Event::ReplyDropped, "count" => dropped);
         }
-        Done { outcome, recovered: machine.recoveries(), overloaded: self.overloaded }
+        RunResult { outcome, recovered: machine.recoveries(), overloaded: self.overloaded }
     }
 }
 
-fn ask<'a>(job: &Job<'a>, adapter: Option<&'a Name>) -> RouteRequest<'a> {
+fn new_route_request<'a>(job: &Job<'a>, adapter: Option<&'a Name>) -> RouteRequest<'a> {
     RouteRequest {
         pipeline: job.pipeline,
         version: job.version,
@@ -306,14 +309,14 @@
 fn choose(
     node: &Node,
     installed: &Installed,
-    ask: &RouteRequest<'_>,
+    route_request: &RouteRequest<'_>,
     rng: &mut Pcg64Mcg,
 ) -> Result<Choice, Refusal> {
     let now = node.clock.now();
     let health = node.lock_health();
     let affinity = node.lock_affinity();
     let sources = Sources { health: &*health, affinity: &affinity };
-    installed.routes().choose(ask, &sources, now, rng)
+    installed.routes().choose(route_request, &sources, now, rng)
 }
 
 fn output_bytes(output: &Output) -> u64 {
--- a/mimosashift/src/node/services.rs
+++ b/mimosashift/src/node/services.rs
@@ -13,24 +13,25 @@
 use crate::http::{Request, Responder};
 use crate::resource::{Endpoint, Name, Role};
 
-/// Headers passed on to a service.
-const FORWARDED: [&str; 4] = ["content-type", "accept", "traceparent", "idempotency-key"];
+/// Request headers that are forwarded to a service.
+const FORWARDED_HEADERS: [&str; 4] = ["content-type", "accept", "traceparent", "idempotency-key"];
 
 /// A call to one service.
 pub struct Target<'a> {
-    /// Who calls.
+    /// The team of the caller.
     pub team: &'a Name,
     /// The service.
     pub service: &'a Name,
     /// Path and query at the service.
     pub path: &'a str,
-    /// Time for one exchange.
+    /// Timeout of one exchange.
     pub timeout: Duration,
     /// Whether the call may be sent more than once.
     pub idempotent: bool,
 }
 
-/// Sends a call whose repetition is safe, or once if it is not.
+/// Forwards a call. An idempotent one is retried at other endpoints; any other
+/// becomes a posting, which is sent at most once.
 pub fn forward(
     node: &Node,
     installed: &Installed,
@@ -43,17 +44,21 @@
     }
     let mut tried = Vec::new();
     loop {
-        let Some((name, endpoint)) = pick(node, installed, target.service, &tried) else {
-            return responder.problem(&unreachable(target.service, tried.is_empty()));
+        let Some((name, endpoint)) = choose_endpoint(node, installed, target.service, &tried)
+        else {
+            return responder.problem(&unreachable_problem(target.service, tried.is_empty()));
         };
         match exchange(node, name, endpoint, target, request) {
-            Ok(answer) => return pass_on(responder, answer),
+            Ok(response) => return forward_response(responder, response),
             Err(Failure::NotSent { .. }) => tried.push(name.clone()),
-            Err(lost) => {
+            Err(failure) => {
                 tried.push(name.clone());
                 if node.lock_budget().take(node.clock.now()).is_err() {
-                    let problem =
-                        Problem::not_run(StatusCode::BAD_GATEWAY, "answer-lost", lost.to_string());
+                    let problem = Problem::not_run(
+                        StatusCode::BAD_GATEWAY,
+                        "answer-lost",
+                        failure.to_string(),
+                    );
                     return responder.problem(&problem.with_effect(Effect::Failed));
                 }
             }
@@ -61,9 +66,9 @@
     }
 }
 
-/// The best endpoint of a service that was not tried: the soundest, then the
-/// nearest, then the least loaded.
-pub fn pick<'a>(
+/// The best endpoint of a service not yet tried: ordered by availability, then
+/// own failure domain first, then load.
+pub fn choose_endpoint<'a>(
     node: &Node,
     installed: &'a Installed,
     service: &Name,
@@ -84,7 +89,7 @@
         .map(|(_, name, endpoint)| (name, endpoint))
 }
 
-/// Makes one exchange and notes what it says of the endpoint.
+/// Makes one exchange and records its result in the endpoint's health.
 pub fn exchange(
     node: &Node,
     name: &Name,
@@ -93,7 +98,7 @@
     request: &Request,
 ) -> Result<Response, Failure> {
     let headers: Vec<(&str, &str)> =
-        FORWARDED.iter().filter_map(|name| Some((*name, request.header(name)?))).collect();
+        FORWARDED_HEADERS.iter().filter_map(|name| Some((*name, request.header(name)?))).collect();
     let call = Call {
         address: endpoint.address,
         method: request.method.clone(),
@@ -105,16 +110,16 @@
     };
     let sent = node.clock.now();
     node.lock_health().begin(name, sent);
-    let answer = node.client.call(&call);
+    let response = node.client.call(&call);
     let now = node.clock.now();
     let mut health = node.lock_health();
     health.end(name, sent);
-    match &answer {
-        Ok(answer) => {
+    match &response {
+        Ok(response) => {
             let exchange = Exchange {
                 layers: 0,
                 tokens: 0,
-                bytes: answer.body.len() as u64,
+                bytes: response.body.len() as u64,
                 total: now.since(sent),
                 service: None,
             };
@@ -125,22 +130,23 @@
             health.record_failure(name, &failure.clone().into(), sent, now, &mut rng);
         }
     }
-    answer
+    response
 }
 
-/// Whether a service declares a method as safe to repeat.
+/// Whether a service declares a method as idempotent.
 pub fn is_idempotent(methods: &[String], method: &Method) -> bool {
     methods.iter().any(|declared| declared.eq_ignore_ascii_case(method.as_str()))
 }
 
-/// Passes a service's answer on to the caller.
-pub fn pass_on(responder: Responder, answer: Response) {
-    let kind = answer.header("content-type").unwrap_or("application/octet-stream").to_owned();
-    responder.send(answer.status, &[(hyper::header::CONTENT_TYPE, &kind)], answer.body);
+/// Forwards a service's response to the caller.
+pub fn forward_response(responder: Responder, response: Response) {
+    let content_type =
+        response.header("content-type").unwrap_or("application/octet-stream").to_owned();
+    responder.send(response.status, &[(hyper::header::CONTENT_TYPE, &content_type)], response.body);
 }
 
-fn unreachable(service: &Name, none: bool) -> Problem {
-    let detail = if none {
+fn unreachable_problem(service: &Name, none_tried: bool) -> Problem {
+    let detail = if none_tried {
         format!("no endpoint of service {:?} is live", service.as_str())
     } else {
         format!("no endpoint of service {:?} could be reached", service.as_str())
--- a/mimosashift/src/node/settings.rs
+++ b/mimosashift/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! What a router needs to start.
+//! Settings of a router.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,55 +13,55 @@
 use crate::resource::Name;
 use crate::settings;
 
-/// Time for one call to the platform.
+/// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(1);
 
 quick_error! {
-    /// Why a router cannot start.
+    /// Reason why a router cannot start.
     #[derive(Debug)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
-        /// An address cannot be listened on.
+        /// Listening on an address failed.
         Listen { surface: &'static str, address: SocketAddr, error: std::io::Error } {
             display("cannot listen for {} on {}: {}", surface, address, error)
         }
-        /// A thread cannot be started.
+        /// Starting a thread failed.
         Thread(error: std::io::Error) {
             from()
             display("cannot start a thread: {}", error)
         }
-        /// The metrics cannot be set up.
+        /// Setting up the metrics failed.
         Metrics(error: meter::Error) {
             from()
             display("{}", error)
         }
-        /// The platform's address is no IP address and port.
+        /// The platform's URL is not an IP address and port.
         Platform(url: String) {
             display("platform {:?} must be http:// with an IP address and port", url)
         }
     }
 }
 
-/// What a router needs to start.
+/// Settings of a router.
 #[derive(Clone)]
 pub struct Settings {
-    /// Who and where it is, and its drain time.
+    /// Name, location and drain time of the router.
     pub node: settings::Node,
-    /// Callers' address; port 0 takes any free port.
+    /// Address of the caller API; port 0 selects any free port.
     pub callers: SocketAddr,
-    /// Limits of the callers' surface.
+    /// Limits of the caller API.
     pub limits: http::Settings,
-    /// Most bytes of queued requests.
+    /// Maximum size of all queued requests together, in bytes.
     pub queue_bytes: usize,
-    /// Operators' address; port 0 takes any free port.
+    /// Address of the operator API; port 0 selects any free port.
     pub operators: SocketAddr,
     /// Digest of the token that is valid before any team exists.
     pub bootstrap_digest: Option<settings::Digest>,
-    /// Other routers.
+    /// Communication with other routers.
     pub peer: settings::Peer,
     /// The platform's tables.
     pub table: Arc<dyn Table>,
-    /// The platform's list of virtual machines, if it is to be followed.
+    /// The platform's list of VMs, if the router is to poll it.
     pub machines: Option<Arc<dyn Machines>>,
 }
 
--- a/mimosashift/src/node/sink.rs
+++ b/mimosashift/src/node/sink.rs
@@ -1,4 +1,4 @@
-//! Sends the answer to a completion, whole or token by token.
+//! Sends the response to a completion request, whole or as a stream.
 
 use std::time::Instant;
 
@@ -12,89 +12,91 @@
 use crate::meter::Meter;
 use crate::pipeline::Outcome;
 
-/// Collects or streams an answer.
+/// Collects or streams the tokens of a response.
 pub struct Sink<'a> {
     meter: &'a Meter,
     writer: Writer,
-    to: To,
+    state: State,
     text: String,
     tokens: usize,
-    /// When the request arrived or the last token was sent.
-    last: Instant,
+    /// When the last token was added; before the first, when the request arrived.
+    last_token_at: Instant,
 }
 
-enum To {
-    /// An answer sent whole, or a stream that has not begun: a refusal can
-    /// still have its own status.
+enum State {
+    /// Nothing is sent yet, so that a refusal can still set the HTTP status. A
+    /// response that is not streamed stays here until its end.
     Pending { responder: Responder, stream: bool },
-    /// A stream under way.
+    /// The stream has started.
     Stream(Stream),
-    /// Neither, while one becomes the other.
-    Gone,
+    /// Placeholder while `Pending` is replaced by `Stream`.
+    Replacing,
 }
 
 impl<'a> Sink<'a> {
     /// A sink that has sent nothing yet.
     pub fn new(meter: &'a Meter, responder: Responder, writer: Writer, stream: bool) -> Self {
-        let to = To::Pending { responder, stream };
-        Self { meter, writer, to, text: String::new(), tokens: 0, last: Instant::now() }
+        let state = State::Pending { responder, stream };
+        Self { meter, writer, state, text: String::new(), tokens: 0, last_token_at: Instant::now() }
     }
 
-    /// Tokens taken so far.
+    /// Number of tokens so far.
     pub const fn tokens(&self) -> usize {
         self.tokens
     }
 
     /// Whether the caller has closed its connection.
     pub fn is_disconnected(&self) -> bool {
-        match &self.to {
-            To::Pending { responder, .. } => responder.is_disconnected(),
-            To::Stream(stream) => stream.is_disconnected(),
-            To::Gone => true,
+        match &self.state {
+            State::Pending { responder, .. } => responder.is_disconnected(),
+            State::Stream(stream) => stream.is_disconnected(),
+            State::Replacing => true,
         }
     }
 
-    /// Takes the next token; false when the caller has gone.
+    /// Adds the next token; returns false if the caller has disconnected.
     pub fn push(&mut self, token: u32) -> bool {
         self.count_token();
         let text = decode_token(token);
-        match &mut self.to {
-            To::Pending { responder, stream: false } => {
+        match &mut self.state {
+            State::Pending { responder, stream: false } => {
                 self.text.push(text);
                 !responder.is_disconnected()
             }
-            To::Pending { .. } => self.begin().write(text),
-            To::Stream(_) | To::Gone => self.write(text),
+            State::Pending { .. } => self.start_stream().write(text),
+            State::Stream(_) | State::Replacing => self.write(text),
         }
     }
 
     fn count_token(&mut self) {
-        let gap = self.last.elapsed().as_secs_f64();
-        self.last = Instant::now();
+        let interval = self.last_token_at.elapsed().as_secs_f64();
+        self.last_token_at = Instant::now();
         if self.tokens == 0 {
-            self.meter.first_token(gap);
+            self.meter.first_token(interval);
         } else {
-            self.meter.inter_token(gap);
+            self.meter.inter_token(interval);
         }
         self.tokens += 1;
         self.meter.tokens(1);
     }
 
     /// Starts the stream.
-    fn begin(&mut self) -> &mut Self {
+    fn start_stream(&mut self) -> &mut Self {
         let headers = [(CONTENT_TYPE, "text/event-stream"), (CACHE_CONTROL, "no-cache")];
-        if let To::Pending { responder, .. } = std::mem::replace(&mut self.to, To::Gone) {
-            self.to = To::Stream(responder.stream(&headers));
+        if let State::Pending { responder, .. } =
+            std::mem::replace(&mut self.state, State::Replacing)
+        {
+            self.state = State::Stream(responder.stream(&headers));
         }
         self
     }
 
     fn write(&mut self, text: char) -> bool {
-        let To::Stream(stream) = &mut self.to else { return false };
+        let State::Stream(stream) = &mut self.state else { return false };
         stream.write(self.writer.event(text.encode_utf8(&mut [0; 4]), None)).is_ok()
     }
 
-    /// Ends the answer as its outcome says.
+    /// Ends the response according to the outcome.
     pub fn finish(mut self, outcome: &Outcome, prompt: usize, max_tokens: usize) {
         if let Some(problem) = outcome::problem(outcome) {
             return self.refuse(&problem);
@@ -104,33 +106,33 @@
         }
         let reason =
             if self.tokens < max_tokens { FinishReason::Stop } else { FinishReason::Length };
-        if matches!(self.to, To::Pending { stream: true, .. }) {
-            self.begin();
+        if matches!(self.state, State::Pending { stream: true, .. }) {
+            self.start_stream();
         }
-        match self.to {
-            To::Pending { responder, .. } => {
+        match self.state {
+            State::Pending { responder, .. } => {
                 let body = self.writer.full_response(&self.text, reason, prompt, self.tokens);
                 responder.json(StatusCode::OK, body);
             }
-            To::Stream(mut stream) => {
+            State::Stream(mut stream) => {
                 let last = stream.write(self.writer.event("", Some(reason)));
                 if last.and_then(|()| stream.write("data: [DONE]\n\n")).is_ok() {
                     stream.finish();
                 }
             }
-            To::Gone => {}
+            State::Replacing => {}
         }
     }
 
-    /// Answers with a problem; a stream under way is cut short after it.
+    /// Responds with a problem; a started stream is truncated after it.
     pub fn refuse(self, problem: &Problem) {
-        match self.to {
-            To::Pending { responder, .. } => responder.problem(problem),
-            To::Stream(mut stream) => {
+        match self.state {
+            State::Pending { responder, .. } => responder.problem(problem),
+            State::Stream(mut stream) => {
                 let body = String::from_utf8_lossy(&problem.to_json()).into_owned();
                 let _ = stream.write(format!("data: {body}\n\n"));
             }
-            To::Gone => {}
+            State::Replacing => {}
         }
     }
 }
--- a/mimosashift/src/node/upkeep.rs
+++ b/mimosashift/src/node/upkeep.rs
@@ -1,4 +1,4 @@
-//! What a router does without being asked.
+//! Periodic background tasks.
 
 use std::sync::Arc;
 use std::thread;
@@ -9,23 +9,23 @@
 
 use super::{Error, Node};
 
-/// Time between two looks at the queue.
+/// Time between two polls of the admission queue.
 const QUEUE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two sweeps over endpoints and teams.
+/// Time between two updates of the queue metrics and of outlier ejection.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Starts the threads.
+/// Starts the tasks, each on a thread of its own.
 pub fn start(node: &Arc<Node>) -> Result<(), Error> {
     spawn(node, "queue", QUEUE_INTERVAL, |node| node.gate.poll())?;
     let mut rng = Pcg64Mcg::seed_from_u64(rand::random());
     spawn(node, "sweep", SWEEP_INTERVAL, move |node| {
-        measure_queue(node);
+        update_queue_metrics(node);
         node.lock_health().eject_outliers(node.clock.now(), &mut rng);
     })
 }
 
-fn measure_queue(node: &Node) {
+fn update_queue_metrics(node: &Node) {
     let (queued, bytes, running, slots, teams) = node.gate.with(|admission| {
         let (queue, slots) = (admission.queue(), admission.slots());
         (queue.len(), queue.bytes(), slots.used(), slots.limit(), admission.limited_teams())
@@ -37,14 +37,14 @@
     node.meter.active_teams(teams as u64);
 }
 
-/// Calls `act` again and again until the router is gone.
+/// Starts a thread that calls `act` periodically until the router is dropped.
 pub fn spawn(
     node: &Arc<Node>,
     name: &str,
     interval: Duration,
     mut act: impl FnMut(&Node) + Send + 'static,
 ) -> Result<(), Error> {
-    // The thread ends once the router itself is gone.
+    // A weak reference lets the thread end when the router is dropped.
     let node = Arc::downgrade(node);
     thread::Builder::new().name(name.to_owned()).spawn(move || {
         while let Some(node) = node.upgrade() {
