--- a/mimosashift/src/node/operators/queries.rs
+++ b/mimosashift/src/node/operators/queries.rs
@@ -89,7 +89,10 @@
         "ready": node.not_ready().is_none(),
         "queue": queue,
         "peers": {"sent_bytes": sent_bytes, "refused_frames": refused},
-        "members": members.iter().map(|(m, liveness)| member_json(m, *liveness)).collect::<Vec<_>>(),
+        "members": members
+            .iter()
+            .map(|(m, liveness)| member_json(m, *liveness))
+            .collect::<Vec<_>>(),
         "endpoints": endpoints_json(node, &installed),
     })
 }
