--- a/mimosabench/src/slopes/caller.rs
+++ b/mimosabench/src/slopes/caller.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use mimosashift::http::client::{Call, Client};
-use mimosashift::node::{Running, Settings};
+use mimosashift::node::{RunningNode, Settings};
 use mimosashift::{http, settings};
 use mimosastandin::engine;
 use mimosastandin::platform::Instance;
@@ -80,13 +80,13 @@
 /// A router before one engine for each stage.
 struct Path {
     client: Client,
-    router: Running,
+    router: RunningNode,
     _engines: Vec<engine::Instance>,
 }
 
 impl Path {
     fn start(layer_us: u32) -> Result<Self, Error> {
-        let router = Running::start(settings(unlimited_table()?), logger())?;
+        let router = RunningNode::start(settings(unlimited_table()?), logger())?;
         let client = Client::new(http::client::Settings::default());
         let mut path = Self { client, router, _engines: Vec::new() };
         let digest = hex::encode(Sha256::digest(CALLER));
--- a/mimosashift/src/node/mod.rs
+++ b/mimosashift/src/node/mod.rs
@@ -95,13 +95,13 @@
 }
 
 /// A running router.
-pub struct Running {
+pub struct RunningNode {
     node: Arc<Node>,
     callers: Server,
     operators: Server,
 }
 
-impl Running {
+impl RunningNode {
     /// Starts a router.
     pub fn start(settings: Settings, log: Logger) -> Result<Self, Error> {
         let (cancels, cancel_receiver) = channel::bounded(MAX_QUEUED_CANCELS);
--- a/mimosashiftd/src/main.rs
+++ b/mimosashiftd/src/main.rs
@@ -5,7 +5,7 @@
 
 use mimosashift::emit;
 use mimosashift::event::{self, Event};
-use mimosashift::node::{self, Running};
+use mimosashift::node::{self, RunningNode};
 use mimosashift::settings::{Setting, Settings};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -54,7 +54,8 @@
         Ok(signals) => signals,
         Err(error) => return stop(EXIT_START, &error),
     };
-    let started = node::Settings::try_from(settings).and_then(|s| Running::start(s, log.clone()));
+    let started =
+        node::Settings::try_from(settings).and_then(|s| RunningNode::start(s, log.clone()));
     let router = match started {
         Ok(router) => router,
         Err(error) => return stop(EXIT_START, &error),
--- a/mimosastandin/src/world.rs
+++ b/mimosastandin/src/world.rs
@@ -8,7 +8,7 @@
 
 use mimosashift::event::Logger;
 use mimosashift::http::client::Client;
-use mimosashift::node::{self, Running};
+use mimosashift::node::{self, RunningNode};
 use mimosashift::resource::{self, Engine, Name};
 use mimosashift::{http, platform as protocol, settings};
 use quick_error::quick_error;
@@ -87,7 +87,7 @@
     /// The service `operations`.
     pub service: service::Instance,
     /// Four routers, two in each domain.
-    pub routers: Vec<Running>,
+    pub routers: Vec<RunningNode>,
 }
 
 impl World {
@@ -108,7 +108,7 @@
         for index in 0..peers.len() {
             let settings = router(index, &peers, platform.address())?;
             let log = log.new(slog::o!("router" => index + 1));
-            routers.push(Running::start(settings, log)?);
+            routers.push(RunningNode::start(settings, log)?);
         }
         Ok(Self { platform, engines, service, routers })
     }
--- a/mimosastandin/tests/path.rs
+++ b/mimosastandin/tests/path.rs
@@ -7,7 +7,7 @@
 
 use mimosashift::http::client::{Call, Client, Response};
 use mimosashift::http::completion::{decode_token, encode_text};
-use mimosashift::node::{Running, Settings};
+use mimosashift::node::{RunningNode, Settings};
 use mimosashift::resource::{Engine, Name};
 use mimosashift::settings;
 use mimosastandin::engine::Fault;
@@ -26,7 +26,7 @@
     callers: SocketAddr,
     operators: SocketAddr,
     /// Keeps the router running.
-    _router: Running,
+    _router: RunningNode,
     engines: Vec<engine::Instance>,
 }
 
@@ -72,7 +72,7 @@
             table: Arc::new(platform),
             machines: None,
         };
-        let router = Running::start(settings, Logger::root(Discard, o!())).unwrap();
+        let router = RunningNode::start(settings, Logger::root(Discard, o!())).unwrap();
         let path = Self {
             client: Client::new(Default::default()),
             callers: router.callers(),
