--- a/mimosashift/src/node/postings/driver.rs
+++ b/mimosashift/src/node/postings/driver.rs
@@ -88,7 +88,7 @@
                     Err(_) => return,
                 },
                 recv(outcomes) -> committed => match committed {
-                    Ok(committed) => self.committed(&committed),
+                    Ok(committed) => self.on_committed(&committed),
                     Err(_) => return,
                 },
                 default(self.time_to_next_timer()) => {}
@@ -120,7 +120,7 @@
         }
     }
 
-    fn committed(&mut self, committed: &Committed) {
+    fn on_committed(&mut self, committed: &Committed) {
         let Committed { id, outcome } = committed;
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         let actions = attempt.machine.committed(outcome, self.clock.now());
