--- a/mimosashiftd/tests/common/mod.rs
+++ b/mimosashiftd/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use hyper::Method;
-use mimosashift::http::client::{Answer, Call, Client, Failure};
+use mimosashift::http::client::{Call, Client, Failure, Response};
 use mimosastandin::{platform, service};
 use serde_json::Value;
 use sha2::{Digest, Sha256};
@@ -122,7 +122,7 @@
         method: Method,
         path: &str,
         body: &str,
-    ) -> Answer {
+    ) -> Response {
         let authorization = format!("Bearer {OPERATOR_TOKEN}");
         let call = Call {
             address: router.operator_address,
@@ -143,7 +143,7 @@
         key: Option<&str>,
         body: &str,
         timeout: Duration,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, Failure> {
         let authorization = format!("Bearer {CALLER_TOKEN}");
         let mut headers = vec![("authorization", authorization.as_str())];
         headers.extend(key.map(|key| ("idempotency-key", key)));
@@ -282,7 +282,7 @@
 }
 
 /// Classifies a response as the caller sees it.
-pub fn classify(answer: &Result<Answer, Failure>) -> Reply {
+pub fn classify(answer: &Result<Response, Failure>) -> Reply {
     let answer = match answer {
         Ok(answer) => answer,
         Err(Failure::NotSent { .. }) => return Reply::NotRun,
--- a/mimosastandin/src/demo/sample.rs
+++ b/mimosastandin/src/demo/sample.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use mimosashift::http::client::{Answer, Call, Client};
+use mimosashift::http::client::{Call, Client, Response};
 use mimosashift::http::completion::{decode_token, encode_text};
 use serde_json::{Value, json};
 use ureq::http::Method;
@@ -245,7 +245,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let bearer = format!("Bearer {CALLER_TOKEN}");
         let mut all_headers = vec![("authorization", bearer.as_str())];
         all_headers.extend_from_slice(headers);
@@ -260,14 +260,14 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         let (body, timeout) = (body.as_bytes(), Duration::from_secs(30));
         let call = Call { address, method, path, headers, body, timeout, fresh: false };
         self.client.call(&call).map_err(|e| Error::Sample { step, reason: e.to_string() })
     }
 }
 
-fn parse(response: &Answer) -> Value {
+fn parse(response: &Response) -> Value {
     serde_json::from_slice(&response.body).unwrap_or_default()
 }
 
--- a/mimosastandin/src/testbed.rs
+++ b/mimosastandin/src/testbed.rs
@@ -8,7 +8,7 @@
 
 use mimosashift::event::Logger;
 use mimosashift::http::client::Client;
-use mimosashift::node::{self, Running};
+use mimosashift::node::{self, RunningNode};
 use mimosashift::resource::{self, Engine, Name};
 use mimosashift::{http, platform as protocol, settings};
 use quick_error::quick_error;
@@ -88,7 +88,7 @@
     /// The service `operations`.
     pub service: service::Instance,
     /// Four routers, two in each failure domain.
-    pub routers: Vec<Running>,
+    pub routers: Vec<RunningNode>,
 }
 
 impl Testbed {
@@ -109,7 +109,7 @@
         for index in 0..peers.len() {
             let settings = router_settings(index, &peers, platform.address())?;
             let log = log.new(slog::o!("router" => index + 1));
-            routers.push(Running::start(settings, log)?);
+            routers.push(RunningNode::start(settings, log)?);
         }
         Ok(Self { platform, engines, service, routers })
     }
--- a/mimosastandin/tests/end_to_end.rs
+++ b/mimosastandin/tests/end_to_end.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mimosashift::http::client::{Answer, Call, Client};
+use mimosashift::http::client::{Call, Client, Response};
 use mimosashift::http::completion::{decode_token, encode_text};
-use mimosashift::node::{Running, Settings};
+use mimosashift::node::{RunningNode, Settings};
 use mimosashift::resource::{Engine, Name};
 use mimosashift::settings;
 use mimosastandin::engine::Fault;
@@ -27,7 +27,7 @@
     callers: SocketAddr,
     operators: SocketAddr,
     /// Keeps the router running.
-    _router: Running,
+    _router: RunningNode,
     engines: Vec<engine::Instance>,
 }
 
@@ -73,7 +73,7 @@
             table: Arc::new(platform),
             machines: None,
         };
-        let router = Running::start(settings, Logger::root(Discard, o!())).unwrap();
+        let router = RunningNode::start(settings, Logger::root(Discard, o!())).unwrap();
         let fixture = Self {
             client: Client::new(Default::default()),
             callers: router.callers(),
@@ -116,7 +116,7 @@
         assert!(response.status.is_success(), "{}", String::from_utf8_lossy(&response.body));
     }
 
-    fn complete(&self, path: &str, body: &str) -> Answer {
+    fn complete(&self, path: &str, body: &str) -> Response {
         self.call(self.callers, Method::POST, path, CALLER_TOKEN, body)
     }
 
@@ -127,7 +127,7 @@
         path: &str,
         token: &str,
         body: &str,
-    ) -> Answer {
+    ) -> Response {
         let authorization = format!("Bearer {token}");
         let call = Call {
             address: router,
