--- a/mimosabench/src/policy/bound.rs
+++ b/mimosabench/src/policy/bound.rs
@@ -1,33 +1,33 @@
-//! The flow that the hardware and links could carry, from declared speeds.
+//! Upper bound on throughput, computed from declared engine and link speeds.
 
 use mimosashift::health::time_model;
 
 use super::fleet::{Fleet, HIDDEN_BYTES, Mix, STAGES};
 
-/// Requests a second that `fleet` could complete with the `live` endpoints,
-/// if every batch were full and every choice perfect.
+/// Requests per second that `fleet` could complete with the `live` endpoints,
+/// assuming full batches and optimal routing.
 ///
-/// All endpoints hold whole stages, so the flow is the least over the stages
-/// of what the holders of the stage carry together. What one endpoint carries
-/// is the least of its compute and of either direction of its link.
+/// Every endpoint holds exactly one stage, so throughput is limited by the stage
+/// whose endpoints have the least total capacity. The capacity of an endpoint is
+/// the minimum of its compute rate and the bandwidth of one link direction.
 pub fn bound(fleet: &Fleet, mix: &Mix, live: impl Fn(usize) -> bool) -> f64 {
     let stages = usize::from(STAGES);
     let flow = |stage: usize| -> f64 {
-        let holders = (stage..fleet.endpoints.len()).step_by(stages);
-        holders.filter(|&number| live(number)).map(|number| carried(fleet, number, mix)).sum()
+        let endpoints = (stage..fleet.endpoints.len()).step_by(stages);
+        endpoints.filter(|&number| live(number)).map(|number| capacity(fleet, number, mix)).sum()
     };
     (0..stages).map(flow).fold(f64::INFINITY, f64::min)
 }
 
-/// Engine time of a request in one-token steps of a batch of one, when every
-/// batch is full.
+/// Engine time of a request when every batch is full, in units of a one-token
+/// step at batch size 1.
 pub fn work(prompt: f64, answer: f64, slots: u32) -> f64 {
     let step = f64::from(time_model::batch_weight(slots)) / f64::from(slots);
     let prefill = f64::from(time_model::step_weight(prompt as f32) - 1.0);
     answer * step + prefill
 }
 
-fn carried(fleet: &Fleet, number: usize, mix: &Mix) -> f64 {
+fn capacity(fleet: &Fleet, number: usize, mix: &Mix) -> f64 {
     let engine = fleet.engine(number);
     let (prompt, answer) = mix.means();
     let layers = engine.holds[0].layers;
--- a/mimosabench/src/policy/engine.rs
+++ b/mimosabench/src/policy/engine.rs
@@ -1,7 +1,7 @@
-//! The least that an engine must do for the measures: batches, slots, caches.
+//! Minimal simulated engine with batching, slots and KV caches.
 //!
-//! Activations are digests that depend on every layer and earlier token, so
-//! that a layer left out, doubled or out of order gives a wrong answer.
+//! Activations are digests of every earlier layer and token, so a skipped,
+//! repeated or reordered layer produces a wrong token.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -12,46 +12,46 @@
 
 use super::fleet::{LAYERS, STAGE_LAYERS};
 
-/// Sequences with a cache at an engine, for each slot.
+/// Maximum number of cached sequences per slot.
 const RESIDENT_PER_SLOT: usize = 16;
 
-/// How an endpoint behaves.
+/// State of a simulated endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It works.
+    /// Serving normally.
     Up,
-    /// Its process has ended: connections are refused.
+    /// The process has exited; connections are refused.
     Crashed,
-    /// Its VM is gone: nothing answers.
+    /// The VM is gone; requests get no response.
     Silent,
-    /// It finishes sequences that it holds and takes no others.
+    /// Finishes its current sequences and accepts no new ones.
     Leaving,
 }
 
-/// A step and the router that awaits its answer.
+/// A queued step and the router that sent it.
 #[derive(Debug)]
 pub struct Job {
-    /// The router.
+    /// Index of the router.
     pub router: usize,
-    /// The request's number.
+    /// Index of the request.
     pub call: usize,
-    /// The work.
+    /// The step to run.
     pub step: Step,
 }
 
-/// A sequence with its KV cache: one digest per position and layer.
+/// A cached sequence: one digest per position and layer stands for the KV cache.
 #[derive(Clone, Debug)]
 struct Sequence {
     attempt: u32,
     digests: Vec<u64>,
 }
 
-/// A fake engine.
+/// A simulated engine.
 #[derive(Debug)]
 pub struct Engine {
-    /// How it behaves.
+    /// Current state.
     pub health: Health,
-    /// Rises when work in flight is lost.
+    /// Incremented when in-flight work is lost, to discard stale events.
     pub epoch: u32,
     iteration: Duration,
     slots: u32,
@@ -61,7 +61,7 @@
     released: HashMap<usize, u32>,
 }
 
-/// The answer that a whole model would give, token by token.
+/// Reference model that generates the expected tokens.
 #[derive(Clone, Debug)]
 pub struct Oracle {
     layers: [u64; LAYERS as usize],
@@ -69,7 +69,7 @@
 }
 
 impl Engine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(declared: &Declared) -> Self {
         let layer = Duration::from_micros(u64::from(declared.layer_us));
         Self {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Loses everything that it holds; returns the work that was lost.
+    /// Enters `health`, drops all caches and returns the lost jobs.
     pub fn fail(&mut self, health: Health) -> Vec<Job> {
         self.health = health;
         self.epoch += 1;
@@ -93,7 +93,7 @@
         self.queue.drain(..).chain(self.batch.drain(..)).collect()
     }
 
-    /// What the engine reports: sequences beyond its slots wait.
+    /// Load report; sequences beyond the slot count are reported as queued.
     pub fn load(&self) -> Load {
         let resident = self.sequences.len() as u32;
         let running = resident.min(self.slots);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Takes a step in, or gives it back with the refusal.
+    /// Queues a step, or returns it with the reason for refusal.
     pub fn enqueue(&mut self, job: Job) -> Option<(Job, Failure)> {
         if let Err(failure) = self.check(&job) {
             return Some((job, failure));
@@ -115,8 +115,8 @@
         None
     }
 
-    /// Starts an iteration if there is work and none runs; says how long it
-    /// takes.
+    /// Starts an iteration if the engine is idle and has work; returns its
+    /// duration.
     pub fn start(&mut self) -> Option<Duration> {
         if !self.batch.is_empty() || self.queue.is_empty() {
             return None;
@@ -128,23 +128,23 @@
         Some(self.iteration.mul_f32(time_model::batch_weight(size) + prefills))
     }
 
-    /// Takes steps in order of arrival, with one prompt at most: engines bound
-    /// the tokens of an iteration.
+    /// Fills the batch in arrival order with at most one prompt, because engines
+    /// limit the tokens per iteration.
     fn fill_batch(&mut self) {
-        let mut place = 0;
+        let mut index = 0;
         let mut prompts = 0;
-        while place < self.queue.len() && self.batch.len() < self.slots as usize {
-            let is_prompt = self.queue[place].step.label.count > 1;
+        while index < self.queue.len() && self.batch.len() < self.slots as usize {
+            let is_prompt = self.queue[index].step.label.count > 1;
             if is_prompt && prompts > 0 {
-                place += 1;
+                index += 1;
                 continue;
             }
             prompts += usize::from(is_prompt);
-            self.batch.extend(self.queue.remove(place));
+            self.batch.extend(self.queue.remove(index));
         }
     }
 
-    /// Ends the iteration with the answers to its steps.
+    /// Ends the iteration and returns the result of each step.
     pub fn finish(&mut self) -> Vec<(Job, Result<Output, Failure>)> {
         let batch = std::mem::take(&mut self.batch);
         batch
@@ -156,9 +156,9 @@
             .collect()
     }
 
-    /// Drops what it holds for an attempt and earlier ones.
+    /// Drops the cache and queued steps of `attempt` and earlier attempts.
     pub fn release(&mut self, call: usize, attempt: u32) {
-        if self.sequences.get(&call).is_some_and(|held| held.attempt <= attempt) {
+        if self.sequences.get(&call).is_some_and(|sequence| sequence.attempt <= attempt) {
             self.sequences.remove(&call);
         }
         let released = self.released.entry(call).or_default();
@@ -166,14 +166,15 @@
         self.queue.retain(|job| job.call != call || job.step.label.attempt > attempt);
     }
 
-    /// The cache that a label names.
+    /// Returns the cache identified by `label`.
     pub fn export(&self, call: usize, label: &Label) -> Option<Vec<u64>> {
-        let held = self.sequences.get(&call).filter(|held| held.attempt == label.attempt)?;
+        let sequence =
+            self.sequences.get(&call).filter(|sequence| sequence.attempt == label.attempt)?;
         let length = label.count as usize * usize::from(STAGE_LAYERS);
-        Some(held.digests.get(..length)?.to_vec())
+        Some(sequence.digests.get(..length)?.to_vec())
     }
 
-    /// Takes a cache over.
+    /// Installs a cache copied from another engine.
     pub fn import(&mut self, call: usize, attempt: u32, digests: Vec<u64>) {
         self.sequences.insert(call, Sequence { attempt, digests });
     }
@@ -200,23 +201,23 @@
             return Err(Failure::Refused("old attempt".to_owned()));
         }
         if label.position == 0 {
-            let fresh = Sequence { attempt: label.attempt, digests: Vec::new() };
-            self.sequences.insert(job.call, fresh);
+            let sequence = Sequence { attempt: label.attempt, digests: Vec::new() };
+            self.sequences.insert(job.call, sequence);
         }
-        let held = self.sequences.get_mut(&job.call).ok_or(Failure::NoCache)?;
-        if held.attempt != label.attempt {
+        let sequence = self.sequences.get_mut(&job.call).ok_or(Failure::NoCache)?;
+        if sequence.attempt != label.attempt {
             return Err(Failure::NoCache);
         }
-        if held.digests.len() != label.position as usize * width {
+        if sequence.digests.len() != label.position as usize * width {
             return Err(Failure::Refused("position".to_owned()));
         }
         let mut outputs = Vec::with_capacity(label.count as usize);
         for mut hidden in inputs(&job.step.input) {
-            for place in 0..width {
-                let earlier = held.digests.len().checked_sub(width);
-                let mut digest = earlier.map_or(0, |earlier| held.digests[earlier]);
-                hidden = run_layer(&mut digest, label.layers.start() + place as u16, hidden);
-                held.digests.push(digest);
+            for index in 0..width {
+                let earlier = sequence.digests.len().checked_sub(width);
+                let mut digest = earlier.map_or(0, |earlier| sequence.digests[earlier]);
+                hidden = run_layer(&mut digest, label.layers.start() + index as u16, hidden);
+                sequence.digests.push(digest);
             }
             outputs.push(hidden);
         }
@@ -229,7 +230,7 @@
 }
 
 impl Oracle {
-    /// Runs a prompt.
+    /// Creates a reference model that has processed `prompt`.
     pub fn new(prompt: &[u32]) -> Self {
         let mut oracle = Self { layers: [0; LAYERS as usize], hidden: 0 };
         for &token in prompt {
@@ -238,7 +239,7 @@
         oracle
     }
 
-    /// The next token, which becomes part of the sequence.
+    /// Generates the next token and appends it to the sequence.
     pub fn next(&mut self) -> u32 {
         let token = to_token(self.hidden);
         self.advance(token);
--- a/mimosabench/src/policy/event.rs
+++ b/mimosabench/src/policy/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, in order of virtual time.
+//! Discrete-event queue of a simulation run.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,40 +8,40 @@
 
 use super::engine::Job;
 
-/// One thing that happens.
+/// A simulation event.
 #[derive(Debug)]
 pub enum Event {
-    /// The next request is due.
+    /// The next request arrives.
     Request,
     /// A step reaches an engine.
     Arrive { to: usize, job: Job },
     /// An engine's iteration ends.
-    Iterated { at: usize, epoch: u32 },
+    IterationEnd { at: usize, epoch: u32 },
     /// An answer reaches a router.
     Answer { call: usize, from: usize, label: Label, result: Result<Output, Failure> },
     /// A copy of a cache is read at its source.
     Export { call: usize, from: usize, to: usize, label: Label },
     /// A copy of a cache reaches its new engine.
     Import { call: usize, to: usize, label: Label, cache: Option<Vec<u64>> },
-    /// A router hears how a copy went.
-    Copied { call: usize, to: usize, label: Label, result: Result<(), Failure> },
-    /// An engine hears that work is to be dropped.
+    /// The result of a cache copy reaches a router.
+    CopyResult { call: usize, to: usize, label: Label, result: Result<(), Failure> },
+    /// A cancellation reaches an engine.
     Release { at: usize, call: usize, attempt: u32 },
-    /// A request's machine may have a deadline.
+    /// A timer of a request fires.
     Timer { call: usize },
-    /// Engines take the figures that they report next.
+    /// Engines sample the load figures of their next report.
     Sample,
-    /// A router polls, shares and sweeps.
+    /// A router polls endpoints, shares health reports and ejects outliers.
     Upkeep { router: usize },
-    /// A router looks at its queue.
+    /// A router polls its admission queue.
     Queue { router: usize },
-    /// The fault of the run happens.
+    /// The fault is injected.
     Fault,
-    /// The VM list shows the fault.
-    Listed,
+    /// The VM list reflects the fault.
+    VmListUpdate,
 }
 
-/// Events by time, then in order of insertion.
+/// Priority queue of events, ordered by time and then by insertion.
 #[derive(Debug, Default)]
 pub struct Queue {
     heap: BinaryHeap<Reverse<Entry>>,
@@ -62,7 +62,7 @@
         self.heap.push(Reverse(Entry { at, number: self.inserted, event }));
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub fn pop(&mut self) -> Option<(Instant, Event)> {
         self.heap.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
--- a/mimosabench/src/policy/fault.rs
+++ b/mimosabench/src/policy/fault.rs
@@ -1,38 +1,38 @@
-//! The faults of the recovery measure.
+//! Faults injected by the recovery benchmark.
 
 use super::engine::Health;
 use super::fleet::{Fleet, ROUTERS, STAGES, router_domain};
 
-/// How many times slower a degraded link is.
+/// Slowdown factor of a degraded link.
 const DEGRADED: u32 = 100;
 
-/// What is lost or gets worse.
+/// A fault to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process of one stage ends.
+    /// The engine process of one stage exits.
     Stage,
-    /// The VM of one engine is gone, with all requests that it worked for.
+    /// The VM of one engine is lost, with the caches of its requests.
     Engine,
-    /// A third of the endpoints are gone, spread over the failure domains.
+    /// A third of the endpoints is lost, spread over the failure domains.
     Third,
-    /// A failure domain is gone, with its endpoints and routers.
+    /// A failure domain is lost, with its endpoints and routers.
     Domain,
-    /// One link gets a hundred times slower.
+    /// One link becomes a hundred times slower.
     Link,
-    /// Four endpoints leave.
+    /// Four endpoints are drained.
     Leave,
 }
 
-/// What a fault does to whom.
+/// Endpoints and routers affected by a fault.
 #[derive(Clone, Debug, Default)]
-pub struct Hit {
-    /// Numbers of the endpoints.
+pub struct Impact {
+    /// Indices of the affected endpoints.
     pub endpoints: Vec<usize>,
-    /// How they behave from then on.
+    /// New state of these endpoints, if it changes.
     pub health: Option<Health>,
-    /// How many times slower their links are from then on.
-    pub slower: Option<u32>,
-    /// Routers that are gone.
+    /// Slowdown factor of their links, if it changes.
+    pub slowdown: Option<u32>,
+    /// Indices of the lost routers.
     pub routers: Vec<usize>,
 }
 
@@ -53,33 +53,35 @@
         }
     }
 
-    /// What it does in a fleet.
-    pub fn hits(self, fleet: &Fleet) -> Hit {
+    /// Returns the endpoints and routers that the fault affects in `fleet`.
+    pub fn impact(self, fleet: &Fleet) -> Impact {
         let all = 0..fleet.endpoints.len();
         let stages = usize::from(STAGES);
-        // Not on the edge of the fleet, and on a fast accelerator.
+        // Picks an endpoint in the middle of the fleet with a fast accelerator.
         let one = stages * (fleet.endpoints.len() / stages / 2) + 1;
         let silent = Some(Health::Silent);
         match self {
             Self::Stage => {
-                Hit { endpoints: vec![one], health: Some(Health::Crashed), ..Hit::default() }
+                Impact { endpoints: vec![one], health: Some(Health::Crashed), ..Impact::default() }
             }
-            Self::Engine => Hit { endpoints: vec![one], health: silent, ..Hit::default() },
+            Self::Engine => Impact { endpoints: vec![one], health: silent, ..Impact::default() },
             Self::Third => {
                 let hit = |at: &usize| (at / stages / 3 + at % stages).is_multiple_of(3);
-                Hit { endpoints: all.filter(hit).collect(), health: silent, ..Hit::default() }
+                Impact { endpoints: all.filter(hit).collect(), health: silent, ..Impact::default() }
             }
-            Self::Domain => Hit {
+            Self::Domain => Impact {
                 endpoints: all.filter(|&at| fleet.domain(at) == 1).collect(),
                 health: silent,
-                slower: None,
+                slowdown: None,
                 routers: (0..ROUTERS).filter(|&at| router_domain(at) == 1).collect(),
             },
-            Self::Link => Hit { endpoints: vec![one], slower: Some(DEGRADED), ..Hit::default() },
-            Self::Leave => Hit {
+            Self::Link => {
+                Impact { endpoints: vec![one], slowdown: Some(DEGRADED), ..Impact::default() }
+            }
+            Self::Leave => Impact {
                 endpoints: (one..one + 4).collect(),
                 health: Some(Health::Leaving),
-                ..Hit::default()
+                ..Impact::default()
             },
         }
     }
--- a/mimosabench/src/policy/fleet.rs
+++ b/mimosabench/src/policy/fleet.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a measure, and the work that is sent to them.
+//! The simulated fleet and the request mixes sent to it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 pub const STAGE_LAYERS: u16 = LAYERS / STAGES;
 /// Failure domains of the region.
 pub const DOMAINS: usize = 3;
-/// Routers; the first failure domain has two of them.
+/// Number of routers; the first failure domain has two of them.
 pub const ROUTERS: usize = 4;
 /// Version of the model.
 pub const VERSION: u32 = 1;
@@ -38,22 +38,22 @@
 /// Kinds of link: one-way latency in microseconds, bandwidth in bytes a second.
 const LINKS: [(u32, u64); 3] = [(50, 1_250_000_000), (300, 125_000_000), (1_000, 12_500_000)];
 
-/// What callers ask for.
+/// Distribution of request sizes and their deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct Mix {
     /// Name in tables and plots.
     pub name: &'static str,
-    /// Fewest and most tokens of a prompt.
+    /// Minimum and maximum prompt length in tokens.
     pub prompt: (u32, u32),
-    /// Fewest and most tokens of an answer.
+    /// Minimum and maximum answer length in tokens.
     pub answer: (u32, u32),
     /// Time from arrival to deadline.
     pub deadline: Duration,
-    /// Time until the load is steady.
+    /// Time until the load reaches a steady state.
     pub warm_up: Duration,
 }
 
-/// Few long drafts.
+/// Few requests with long answers.
 pub const BOARD: Mix = Mix {
     name: "board",
     prompt: (64, 192),
@@ -62,7 +62,7 @@
     warm_up: Duration::from_secs(60),
 };
 
-/// Many short answers while a customer waits.
+/// Many interactive requests with short answers.
 pub const AKSU: Mix = Mix {
     name: "aksu",
     prompt: (16, 64),
@@ -71,14 +71,14 @@
     warm_up: Duration::from_secs(15),
 };
 
-/// All endpoints, as declared.
+/// All endpoints as declared in the configuration.
 #[derive(Debug)]
 pub struct Fleet {
-    /// Endpoints in order of number: those of a replica follow each other.
+    /// Endpoints by index; the endpoints of a replica are adjacent.
     pub endpoints: Vec<(Name, Endpoint)>,
-    /// The same as a configuration.
+    /// The configuration snapshot that declares them.
     pub snapshot: Snapshot,
-    /// The model.
+    /// Name of the model's pipeline.
     pub pipeline: Name,
 }
 
@@ -98,7 +98,8 @@
 }
 
 impl Fleet {
-    /// A fleet of `replicas` replicas over all kinds of accelerator and link.
+    /// Creates a fleet of `replicas` replicas that covers all kinds of accelerator
+    /// and link.
     pub fn new(replicas: usize) -> Self {
         let pipeline = name("model");
         let spec = Spec::Pipeline(Pipeline {
@@ -125,11 +126,11 @@
     pub fn engine(&self, number: usize) -> &Engine {
         match &self.endpoints[number].1.role {
             Role::Engine(engine) => engine,
-            Role::Service(_) => unreachable!("a fleet has engines only"),
+            Role::Service(_) => unreachable!("the simulated fleet has only engines"),
         }
     }
 
-    /// Number of the failure domain of an endpoint.
+    /// Index of the failure domain of an endpoint.
     pub fn domain(&self, number: usize) -> usize {
         number / usize::from(STAGES) % DOMAINS
     }
@@ -142,24 +143,24 @@
     }
 }
 
-/// Number of the failure domain of a router.
+/// Index of the failure domain of a router.
 pub const fn router_domain(router: usize) -> usize {
     router % DOMAINS
 }
 
-/// Distances as a router sees them.
+/// Network distances as seen from a router.
 pub fn distances(router: usize) -> Distances {
     Distances::new(domain_name(router_domain(router)), CROSSING, BTreeMap::new())
 }
 
-/// Number of an endpoint by its name.
+/// Index of an endpoint, parsed from its name.
 pub fn number(endpoint: &Name) -> usize {
-    endpoint.as_str()[1..].parse().expect("endpoints are named by number")
+    endpoint.as_str()[1..].parse().expect("endpoint names end in their index")
 }
 
-/// A name that is known to be valid.
+/// Parses a name that is known to be valid.
 pub fn name(text: &str) -> Name {
-    Name::try_from(text).expect("names of a measure are valid")
+    Name::try_from(text).expect("benchmark resource names are valid")
 }
 
 fn domain_name(domain: usize) -> Name {
@@ -171,7 +172,8 @@
     let kind = (replica + stage) % LAYER_US.len();
     let (link_us, link_bytes_per_second) = LINKS[(replica + 2 * stage) % LINKS.len()];
     let start = stage as u16 * STAGE_LAYERS;
-    let layers = Layers::try_from((start, start + STAGE_LAYERS)).expect("a stage has layers");
+    let layers =
+        Layers::try_from((start, start + STAGE_LAYERS)).expect("a stage has at least one layer");
     let engine = Engine {
         accelerator: name(&format!("kind-{kind}")),
         layer_us: LAYER_US[kind],
--- a/mimosabench/src/policy/link.rs
+++ b/mimosabench/src/policy/link.rs
@@ -1,7 +1,7 @@
-//! The link of an engine: latency, and bandwidth shared by transfers.
+//! Simulated network link of an engine, with latency and shared bandwidth.
 //!
-//! Short transfers pass long ones, as on connections of their own; what they
-//! take is taken from the long ones.
+//! Short transfers overtake long ones, as on separate connections, and delay the
+//! long transfers by the bandwidth that they use.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 
 /// Bytes of a digest, which stands for the activation of one token.
 const DIGEST_BYTES: usize = 8;
-/// Bytes of headers around a step's body.
+/// Header bytes per step message.
 const OVERHEAD_BYTES: u64 = 512;
 
-/// Transfers of more bytes are long.
+/// Largest size of a short transfer.
 const SHORT_BYTES: u64 = 64 << 10;
 
-/// One direction of a link: when its transfers are through.
+/// Completion times of the queued transfers in one direction of a link.
 #[derive(Clone, Copy, Debug, Default)]
 struct Lane {
     short: Instant,
@@ -31,23 +31,23 @@
 pub struct Link {
     bytes_per_second: f64,
     factor: u32,
-    inwards: Lane,
-    outwards: Lane,
+    inbound: Lane,
+    outbound: Lane,
 }
 
 impl Link {
-    /// An idle link.
+    /// Creates an idle link.
     pub fn new(engine: &Engine) -> Self {
         let bytes_per_second = engine.link_bytes_per_second as f64;
-        Self { bytes_per_second, factor: 1, inwards: Lane::default(), outwards: Lane::default() }
+        Self { bytes_per_second, factor: 1, inbound: Lane::default(), outbound: Lane::default() }
     }
 
-    /// Makes latency longer and bandwidth less by `factor`.
+    /// Multiplies the latency and divides the bandwidth by `factor`.
     pub const fn degrade(&mut self, factor: u32) {
         self.factor = factor;
     }
 
-    /// Time until a step's input is at the engine.
+    /// Time until the input of a step reaches the engine.
     pub fn send(&mut self, input: &Input, now: Instant, latency: Duration) -> Duration {
         let bytes = match input {
             Input::Tokens(tokens) => tokens.len() as u64 * size_of::<u32>() as u64,
@@ -55,16 +55,16 @@
         };
         let bytes = bytes + OVERHEAD_BYTES;
         let time = self.time(bytes);
-        self.inwards.pass(bytes, time, now) + latency * self.factor
+        self.inbound.enqueue(bytes, time, now) + latency * self.factor
     }
 
-    /// Time until an answer of `bytes` bytes is at the router.
+    /// Time until an answer of `bytes` bytes reaches the router.
     pub fn reply(&mut self, bytes: u64, now: Instant, latency: Duration) -> Duration {
         let time = self.time(bytes);
-        self.outwards.pass(bytes, time, now) + latency * self.factor
+        self.outbound.enqueue(bytes, time, now) + latency * self.factor
     }
 
-    /// Time until a cache is copied from one engine to another.
+    /// Time to copy a cache from one engine to another.
     pub fn copy(
         links: &mut [Self],
         from: usize,
@@ -76,10 +76,10 @@
         let bytes = cells * u64::from(KV_BYTES);
         let sent = links[from].reply(bytes, now, Duration::ZERO);
         let time = links[to].time(bytes);
-        sent.max(links[to].inwards.pass(bytes, time, now))
+        sent.max(links[to].inbound.enqueue(bytes, time, now))
     }
 
-    /// Bytes of an answer.
+    /// Size of an answer in bytes.
     pub fn bytes(output: &Output) -> u64 {
         OVERHEAD_BYTES
             + match output {
@@ -94,8 +94,9 @@
 }
 
 impl Lane {
-    /// Time until a transfer that takes `time` alone is through.
-    fn pass(&mut self, bytes: u64, time: Duration, now: Instant) -> Duration {
+    /// Queues a transfer that takes `time` on an idle link; returns the time until
+    /// it completes.
+    fn enqueue(&mut self, bytes: u64, time: Duration, now: Instant) -> Duration {
         if bytes > SHORT_BYTES {
             self.long = self.long.max(now) + time;
             return self.long.since(now);
--- a/mimosabench/src/policy/measure.rs
+++ b/mimosabench/src/policy/measure.rs
@@ -1,4 +1,4 @@
-//! The measures: throughput against the bound, and recovery after faults.
+//! Benchmarks of throughput relative to its upper bound and of fault recovery.
 
 use std::sync::Arc;
 use std::thread;
@@ -13,29 +13,29 @@
 use super::run::{Plan, Policy, run};
 use super::tally::Tally;
 
-/// Share of the offered load that must be served at 95% of the bound.
+/// Minimum share of the offered load served when 95% of the bound is offered.
 pub const SERVED_TARGET: f64 = 0.95;
-/// Share of the bound that must be served when more than it is offered.
+/// Minimum share of the bound served under overload.
 pub const OVERLOAD_TARGET: f64 = 0.93;
-/// Share of the flow at which it counts as recovered.
+/// Share of the expected token throughput at which a run counts as recovered.
 pub const RECOVERED_SHARE: f64 = 0.95;
-/// Load of the recovery measure, as a share of the bound.
+/// Offered load of the recovery benchmark, as a share of the bound.
 pub const RECOVERY_LOAD: f64 = 0.6;
-/// Span over which the flow is averaged when it is judged as recovered.
+/// Window over which token throughput is averaged to detect recovery.
 const SMOOTHING: Duration = Duration::from_secs(1);
 /// Offered loads, as shares of the bound.
 pub const LOADS: [f64; 4] = [0.5, 0.8, 0.95, 1.2];
-/// Runs made at once.
+/// Maximum number of concurrent runs.
 const THREADS: usize = 6;
-/// Slots of every engine, for the weights of requests.
+/// Slots per engine, used to weight requests.
 const SLOTS: u32 = 4;
 
-/// How large and long the runs are.
+/// Size and duration of the runs.
 #[derive(Clone, Copy, Debug)]
 pub struct Scale {
     /// Replicas of the model.
     pub replicas: usize,
-    /// Time that is measured after the warm-up.
+    /// Measured time after the warm-up.
     pub measured: Duration,
     /// Seed of all runs.
     pub seed: u64,
@@ -46,17 +46,17 @@
 pub struct Throughput {
     /// Name of the mix.
     pub mix: &'static str,
-    /// Who decided.
+    /// Policy under test.
     pub policy: Policy,
     /// Offered load as a share of the bound.
     pub load: f64,
-    /// Bound in requests a second.
+    /// Throughput bound in requests per second.
     pub bound: f64,
-    /// Share of the requests answered whole within their deadline.
+    /// Share of the requests answered completely within their deadline.
     pub served: f64,
-    /// Work answered, as a share of the bound.
+    /// Completed work as a share of the bound.
     pub of_bound: f64,
-    /// Counts of the run.
+    /// Statistics of the run.
     pub tally: Arc<Tally>,
 }
 
@@ -65,24 +65,24 @@
 pub struct Recovery {
     /// Name of the mix.
     pub mix: &'static str,
-    /// Who decided.
+    /// Policy under test.
     pub policy: Policy,
-    /// What happened.
+    /// The injected fault.
     pub fault: Fault,
-    /// When it happened.
+    /// Time of the fault.
     pub at: Instant,
-    /// Time until the flow was back; `None` if it was not.
+    /// Time until token throughput recovered; `None` if it did not.
     pub flow: Option<Duration>,
-    /// Pause that 95 in 100 of the answers in progress stayed under.
+    /// 95th percentile of the pause in answers that were in progress.
     pub pause: Duration,
-    /// Requests lost that could have been saved.
+    /// Number of admitted requests that failed, without those whose router was lost.
     pub lost: usize,
-    /// Counts of the run.
+    /// Statistics of the run.
     pub tally: Arc<Tally>,
 }
 
 impl Recovery {
-    /// Longest time that the flow may take to be back.
+    /// Maximum time for token throughput to recover.
     pub const fn target(fault: Fault) -> Duration {
         match fault {
             Fault::Stage | Fault::Engine | Fault::Link | Fault::Leave => Duration::from_secs(1),
@@ -103,49 +103,50 @@
     let (from, to) = (Instant::ZERO + mix.warm_up, Instant::ZERO + duration);
     let (prompt, answer) = mix.means();
     let weight = |prompt, answer| work(prompt, answer, SLOTS);
-    let carried = bound * weight(prompt, answer) * scale.measured.as_secs_f64();
+    let bound_work = bound * weight(prompt, answer) * scale.measured.as_secs_f64();
     Throughput {
         mix: mix.name,
         policy,
         load,
         bound,
         served: tally.served_share(from, to),
-        of_bound: tally.work(from, to, weight) / carried,
+        of_bound: tally.work(from, to, weight) / bound_work,
         tally: tally.into(),
     }
 }
 
-/// Measures the recovery after `fault`, beside a run without it.
+/// Measures the recovery after `fault`, relative to a run without the fault.
 pub fn recovery(scale: Scale, mix: &Mix, fault: Fault, policy: Policy) -> Recovery {
     let fleet = Fleet::new(scale.replicas);
-    let whole = bound(&fleet, mix, |_| true);
-    let hit = fault.hits(&fleet);
-    let gone = |at| hit.health.is_some() && hit.endpoints.contains(&at);
-    let left = bound(&fleet, mix, |at| !gone(at));
+    let full_bound = bound(&fleet, mix, |_| true);
+    let impact = fault.impact(&fleet);
+    let removed = |at| impact.health.is_some() && impact.endpoints.contains(&at);
+    let remaining_bound = bound(&fleet, mix, |at| !removed(at));
     let at = Instant::ZERO + mix.warm_up;
     let duration = mix.warm_up + scale.measured;
     let plan = Plan {
         fleet: &fleet,
         mix,
-        rate: whole * RECOVERY_LOAD,
+        rate: full_bound * RECOVERY_LOAD,
         duration,
         fault: Some((fault, at)),
         policy,
         seed: scale.seed,
     };
     let tally = run(plan);
-    let calm = run(Plan { fault: None, policy: Policy::Library, ..plan });
-    let tokens = left * mix.means().1;
-    let flow = recovered(&tally, &calm, tokens, at, Instant::ZERO + duration);
+    let fault_free = run(Plan { fault: None, policy: Policy::Library, ..plan });
+    let tokens = remaining_bound * mix.means().1;
+    let flow = time_to_recover(&tally, &fault_free, tokens, at, Instant::ZERO + duration);
     let lost = tally.done.iter().filter(|done| done.end == End::Lost).count();
     let pause = tally.pause(0.95);
     Recovery { mix: mix.name, policy, fault, at, flow, pause, lost, tally: tally.into() }
 }
 
-/// Time from the fault until the mean flow of the next second is back.
-fn recovered(
+/// Time from the fault to the first window whose mean token throughput has
+/// recovered.
+fn time_to_recover(
     tally: &Tally,
-    calm: &Tally,
+    fault_free: &Tally,
     bound: f64,
     fault: Instant,
     end: Instant,
@@ -153,8 +154,8 @@
     let mut from = fault;
     while from + SMOOTHING <= end {
         let to = from + SMOOTHING;
-        let wanted = calm.flow_over(from, to).min(bound);
-        if tally.flow_over(from, to) >= RECOVERED_SHARE * wanted {
+        let expected = fault_free.flow_over(from, to).min(bound);
+        if tally.flow_over(from, to) >= RECOVERED_SHARE * expected {
             return Some(from.since(fault));
         }
         from = from + super::tally::BIN;
@@ -162,7 +163,7 @@
     None
 }
 
-/// Makes all runs, or those of one mix.
+/// Runs all benchmarks, or those of one mix.
 pub fn all(scale: Scale, only: Option<&str>) -> (Vec<Throughput>, Vec<Recovery>) {
     let mixes = [BOARD, AKSU].into_iter().filter(|mix| only.is_none_or(|name| name == mix.name));
     let policies = [Policy::Library, Policy::Naive];
@@ -178,14 +179,15 @@
     (throughputs, recoveries)
 }
 
-/// Makes runs on a thread each, [`THREADS`] at a time.
+/// Runs `act` on a thread per input, at most [`THREADS`] at a time.
 fn parallel<T: Copy + Send, R: Send>(inputs: Vec<T>, act: impl Fn(T) -> R + Sync) -> Vec<R> {
     let mut results = Vec::new();
     for group in inputs.chunks(THREADS) {
         thread::scope(|scope| {
             let act = &act;
             let runs: Vec<_> = group.iter().map(|&input| scope.spawn(move || act(input))).collect();
-            results.extend(runs.into_iter().map(|run| run.join().expect("a run does not panic")));
+            results
+                .extend(runs.into_iter().map(|run| run.join().expect("benchmark thread panicked")));
         });
     }
     results
--- a/mimosabench/src/policy/mod.rs
+++ b/mimosabench/src/policy/mod.rs
@@ -1,7 +1,8 @@
-//! Policy benchmarks: the decision code over fake endpoints in virtual time.
+//! Policy benchmarks: runs the routing and admission code against simulated
+//! endpoints in virtual time.
 //!
-//! Each measure runs beside a naive baseline on the same arrivals.
-//! `docs/MEASURES.md` says what is measured and how.
+//! Each benchmark also runs a naive baseline with the same arrivals. See
+//! `docs/MEASURES.md` for the definitions.
 
 pub mod bound;
 mod call;
--- a/mimosabench/src/policy/naive.rs
+++ b/mimosabench/src/policy/naive.rs
@@ -1,4 +1,4 @@
-//! The baseline: replicas in turn, and a failed request starts over.
+//! Baseline policy: round-robin over replicas, restarting failed requests.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 use super::fleet::{Fleet, STAGES, VERSION};
 
-/// Time after which an exchange counts as lost.
-const TIMEOUT: Duration = Duration::from_secs(2);
-/// Replicas tried before a request is given up.
-const TRIES: u32 = 3;
+/// Timeout of one step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of attempts per request, each on another replica.
+const MAX_ATTEMPTS: u32 = 3;
 
 /// A request that runs on one replica from its first to its last stage.
 #[derive(Debug)]
@@ -27,7 +27,7 @@
 }
 
 impl Naive {
-    /// A request that has not been sent.
+    /// Creates a request that has not been sent.
     pub const fn new(request: Request, replica: usize) -> Self {
         Self {
             request,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Starts on the present replica.
+    /// Starts an attempt on the current replica.
     pub fn start(&mut self, fleet: &Fleet) -> Actions {
         self.attempt += 1;
         (self.stage, self.position) = (0, 0);
@@ -51,7 +51,7 @@
         actions
     }
 
-    /// Takes the answer of a stage.
+    /// Handles the answer of a stage.
     pub fn on_reply(&mut self, fleet: &Fleet, label: &Label, output: Output) -> Actions {
         let mut actions = Actions::new();
         if self.done || self.expected.as_ref() != Some(label) {
@@ -78,13 +78,13 @@
         actions
     }
 
-    /// Takes the news that a step gave no answer.
+    /// Handles a failed step; retries on the next replica.
     pub fn on_failure(&mut self, fleet: &Fleet, label: &Label) -> Actions {
         let mut actions = Actions::new();
         if self.done || self.expected.as_ref() != Some(label) {
             return actions;
         }
-        if self.attempt >= TRIES {
+        if self.attempt >= MAX_ATTEMPTS {
             let (code, effect) = (FailureCode::NoChain, Effect::Unknown);
             let outcome = Outcome::Failed { code, effect, retry_after: None };
             self.finish(fleet, outcome, &mut actions);
@@ -119,7 +119,7 @@
         };
         self.expected = Some(label.clone());
         let step = Step { label, priority: self.request.priority, adapter: None, input };
-        actions.push(Action::Send { endpoint, step, timeout: TIMEOUT });
+        actions.push(Action::Send { endpoint, step, timeout: STEP_TIMEOUT });
     }
 
     fn finish(&mut self, fleet: &Fleet, outcome: Outcome, actions: &mut Actions) {
--- a/mimosabench/src/policy/plot.rs
+++ b/mimosabench/src/policy/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of the measures.
+//! Plots of the benchmark results.
 
 use std::error::Error;
 use std::path::Path;
@@ -12,12 +12,12 @@
 /// Size of a plot in pixels.
 const SIZE: (u32, u32) = (720, 360);
 /// Time shown before and after a fault, in seconds.
-const SHOWN: (f64, f64) = (3.0, 10.0);
+const TIME_RANGE: (f64, f64) = (3.0, 10.0);
 /// Bins averaged into one point of a curve.
 const POINT_BINS: usize = 5;
 
-/// Draws a plot of throughput for each mix and one of recovery for each mix
-/// and fault into `folder`.
+/// Writes a throughput plot per mix and a recovery plot per mix and fault to
+/// `folder`.
 pub fn draw(
     folder: &Path,
     throughputs: &[Throughput],
@@ -78,7 +78,7 @@
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(-SHOWN.0..SHOWN.1, 0.0..highest * 1.1)?;
+        .build_cartesian_2d(-TIME_RANGE.0..TIME_RANGE.1, 0.0..highest * 1.1)?;
     chart
         .configure_mesh()
         .x_desc("seconds after the fault")
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// Tokens a second around the fault.
+/// Tokens per second by time relative to the fault.
 fn curve(row: &Recovery) -> Vec<(f64, f64)> {
     let bin = BIN.as_secs_f64();
     let fault = row.at.as_micros() as f64 / 1e6;
@@ -104,5 +104,5 @@
         let middle = (first as f64 + POINT_BINS as f64 / 2.0) * bin - fault;
         (middle, f64::from(bins.iter().sum::<u32>()) / (POINT_BINS as f64 * bin))
     });
-    means.filter(|(at, _)| (-SHOWN.0..SHOWN.1).contains(at)).collect()
+    means.filter(|(at, _)| (-TIME_RANGE.0..TIME_RANGE.1).contains(at)).collect()
 }
--- a/mimosabench/src/policy/print.rs
+++ b/mimosabench/src/policy/print.rs
@@ -1,4 +1,4 @@
-//! Tables of the measures.
+//! Text output of the benchmark results.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use super::measure::{Recovery, Throughput};
 use super::tally::Tally;
 
-/// A table of throughput runs.
+/// Formats throughput runs as a Markdown table.
 pub fn throughputs(rows: &[Throughput]) -> String {
     let mut text = String::from(
         "| Mix | Policy | Offered, of the bound | Served, of offered | Served, of the bound | Refused | Lost | Breaches |\n\
@@ -30,7 +30,7 @@
     text
 }
 
-/// A table of recovery runs.
+/// Formats recovery runs as a Markdown table.
 pub fn recoveries(rows: &[Recovery]) -> String {
     let mut text = String::from(
         "| Mix | Policy | Fault | Flow is back, s | Pause of 95 in 100, s | Lost | Refused | Cut off | Breaches |\n\
@@ -55,7 +55,7 @@
     text
 }
 
-/// Why requests were refused or lost in each run.
+/// Lists why requests were refused or lost in each run.
 pub fn causes(throughputs: &[Throughput], recoveries: &[Recovery]) -> String {
     let mut text = String::new();
     for row in throughputs {
--- a/mimosabench/src/policy/router.rs
+++ b/mimosabench/src/policy/router.rs
@@ -1,4 +1,5 @@
-//! The decision code of one router, each with its own state.
+//! Simulated router: the library's routing, health and admission code with its
+//! own state.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,25 +20,25 @@
 
 use super::fleet::{self, Fleet, ROUTERS, VERSION};
 
-/// Teams that take turns to send.
+/// Number of teams; requests are assigned to them in rotation.
 const TEAMS: usize = 10;
-/// Bounds of a router's admission, as a node has them by default.
+/// Admission bounds, equal to the defaults of a node.
 const BOUNDS: Bounds =
     Bounds { queued: 512, queued_bytes: 8 << 20, start_slots: 64, max_slots: 512 };
 
-/// Size of the table of cached prefixes, which no request names here.
+/// Prefix affinity settings; simulated requests carry no prefixes.
 const AFFINITY: affinity::Settings =
     affinity::Settings { max_prefixes: 16, expiry: Duration::from_secs(300) };
 
 /// One router.
 pub struct Router {
-    /// Whether its VM is up.
+    /// Whether the VM is up.
     pub up: bool,
-    /// What it knows about endpoints.
+    /// Health state of the endpoints.
     pub health: Registry,
-    /// Which requests run.
+    /// Admission controller.
     pub admission: Admission,
-    /// Requests that wait for their verdict.
+    /// Requests that await an admission decision.
     pub waiting: HashMap<Ticket, usize>,
     table: Table,
     affinity: Affinity,
@@ -45,21 +46,21 @@
     team: Team,
     teams: Vec<Name>,
     polls: u64,
-    /// When it last shared its reports.
+    /// Time at which health reports were last shared.
     pub shared: Instant,
     rng: Pcg64Mcg,
 }
 
-/// The endpoints that work for a request, as its router counts them.
+/// Endpoints at which the router counts a request as in flight.
 #[derive(Debug)]
-pub struct Held {
+pub struct ActiveChain {
     /// The chain in use.
     pub chain: Chain,
-    begun: Vec<(Name, Instant)>,
+    counted: Vec<(Name, Instant)>,
 }
 
 impl Router {
-    /// A router that has just installed the fleet's configuration.
+    /// Creates a router with the configuration of `fleet` installed.
     pub fn new(fleet: &Fleet, number: usize, rng: &mut Pcg64Mcg) -> Self {
         let distances = fleet::distances(number);
         let mut health = Registry::new(health::Settings::default());
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Submits a request; it waits until a verdict names its ticket.
+    /// Submits a request, which waits until an admission decision names its ticket.
     pub fn submit(
         &mut self,
         fleet: &Fleet,
@@ -91,7 +92,7 @@
         out: &mut Vec<admit::Action>,
     ) -> Result<Ticket, Refusal> {
         let service = self.choose(fleet, request, &[], &[], now)?.estimate;
-        let asked = admit::Request {
+        let admission_request = admit::Request {
             name: &self.teams[call % TEAMS],
             team: &self.team,
             level: request.priority,
@@ -100,40 +101,41 @@
             deadline: request.deadline,
             service,
         };
-        let ticket = self.admission.submit(now, &asked, out);
+        let ticket = self.admission.submit(now, &admission_request, out);
         self.waiting.insert(ticket, call);
         Ok(ticket)
     }
 
-    /// Chooses the chain of a request and counts its work.
+    /// Chooses the chain of a request and counts it as in flight there.
     pub fn begin(
         &mut self,
         fleet: &Fleet,
         request: &Request,
         now: Instant,
-    ) -> Result<Held, Refusal> {
+    ) -> Result<ActiveChain, Refusal> {
         let chain = self.choose(fleet, request, &[], &[], now)?.chain;
-        let mut held = Held { chain: chain.clone(), begun: Vec::new() };
-        self.follow(&mut held, chain, now);
-        Ok(held)
+        let mut active = ActiveChain { chain: chain.clone(), counted: Vec::new() };
+        self.switch_to(&mut active, chain, now);
+        Ok(active)
     }
 
-    /// What an input of a request's machine needs.
+    /// Context for calls to the state machine of a request.
     pub fn context(&mut self, now: Instant) -> Context<'_> {
         Context { now, rng: &mut self.rng, budget: &mut self.budget }
     }
 
-    /// Chooses a chain without the avoided endpoints, keeping what it can.
+    /// Chooses a chain without the endpoints in `avoid`, keeping the other stages if
+    /// possible.
     pub fn replace(
         &mut self,
         fleet: &Fleet,
         request: &Request,
-        held: &mut Held,
+        active: &mut ActiveChain,
         avoid: &[Name],
         scope: Scope,
         now: Instant,
     ) -> Option<Replacement> {
-        let old = held.chain.clone();
+        let old = active.chain.clone();
         let kept: SmallVec<[Stage; 8]> = match scope {
             Scope::Whole => SmallVec::new(),
             Scope::Range(lost) => {
@@ -151,19 +153,19 @@
             |name: &Name| health.condition(name, now).availability != Availability::Unreachable;
         let names = old.stages().iter().map(|stage| stage.endpoint.clone());
         let holders = names.filter(readable).collect();
-        self.follow(held, chain.clone(), now);
+        self.switch_to(active, chain.clone(), now);
         let cost = cost(fleet, &chain);
         Some(Replacement { chain, holders, cost })
     }
 
-    /// Counts the end of a request's work.
-    pub fn end(&mut self, held: &Held) {
-        for (name, since) in &held.begun {
+    /// Stops counting a request as in flight.
+    pub fn end(&mut self, active: &ActiveChain) {
+        for (name, since) in &active.counted {
             self.health.end(name, *since);
         }
     }
 
-    /// Notes an answered step.
+    /// Records an answered step.
     pub fn succeed(&mut self, endpoint: &Name, step: &Sent, bytes: u64, now: Instant) {
         let exchange = Exchange {
             layers: step.layers,
@@ -175,18 +177,18 @@
         self.health.record_success(endpoint, &exchange, now);
     }
 
-    /// Notes a step without an answer.
+    /// Records a failed step.
     pub fn fail(&mut self, endpoint: &Name, failure: &Failure, sent: Instant, now: Instant) {
         self.health.record_failure(endpoint, failure, sent, now, &mut self.rng);
     }
 
-    /// Takes in a load report that this router asked for.
+    /// Records a load report polled by this router.
     pub fn poll(&mut self, endpoint: &Name, load: &mimosashift::engine::Load, now: Instant) {
         self.polls += 1;
         self.health.record_poll(endpoint, 1, load, self.polls, now);
     }
 
-    /// Ejects slow endpoints and forgets idle teams.
+    /// Ejects slow endpoints and drops the state of idle teams.
     pub fn sweep(&mut self, now: Instant) {
         self.admission.report(now, 0);
         self.health.eject_outliers(now, &mut self.rng);
@@ -200,7 +202,7 @@
         kept: &[Stage],
         now: Instant,
     ) -> Result<Choice, Refusal> {
-        let ask = RouteRequest {
+        let route_request = RouteRequest {
             pipeline: &fleet.pipeline,
             version: VERSION,
             prompt_tokens: request.prompt.len() as u32,
@@ -212,14 +214,15 @@
             kept,
         };
         let sources = Sources { health: &self.health, affinity: &self.affinity };
-        self.table.choose(&ask, &sources, now, &mut self.rng)
+        self.table.choose(&route_request, &sources, now, &mut self.rng)
     }
 
-    /// Counts work at the endpoints of a chain, and no longer at those left.
-    fn follow(&mut self, held: &mut Held, chain: Chain, now: Instant) {
+    /// Counts the request at the endpoints of `chain` and stops counting it at
+    /// endpoints no longer used.
+    fn switch_to(&mut self, active: &mut ActiveChain, chain: Chain, now: Instant) {
         let uses = |name: &Name| chain.stages().iter().any(|stage| stage.endpoint == *name);
         let mut kept = Vec::new();
-        for (name, since) in held.begun.drain(..) {
+        for (name, since) in active.counted.drain(..) {
             if uses(&name) {
                 kept.push((name, since));
             } else {
@@ -232,33 +235,33 @@
                 kept.push((stage.endpoint.clone(), now));
             }
         }
-        held.begun = kept;
-        held.chain = chain;
+        active.counted = kept;
+        active.chain = chain;
     }
 }
 
-/// What a router remembers of a step in flight.
+/// Send time and size of a step in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
-    /// When it was sent.
+    /// Send time.
     pub at: Instant,
     layers: u16,
     tokens: u32,
 }
 
 impl Sent {
-    /// A step sent at `at`.
+    /// Records that `step` was sent at `at`.
     pub const fn new(step: &Step, at: Instant) -> Self {
         Self { at, layers: step.label.layers.count(), tokens: step.label.count }
     }
 }
 
-/// The identity of the request with a number.
+/// Request id derived from the request's index.
 pub const fn request_id(call: usize) -> RequestId {
     RequestId(call as u128)
 }
 
-/// What recovery costs on a chain.
+/// Recovery cost on a chain.
 pub fn cost(fleet: &Fleet, chain: &Chain) -> Cost {
     let pipeline = fleet.snapshot.pipeline(&fleet.pipeline).expect("the fleet has a pipeline");
     let engine = |stage: &Stage| fleet.engine(fleet::number(&stage.endpoint));
--- a/mimosabench/src/policy/run/engines.rs
+++ b/mimosabench/src/policy/run/engines.rs
@@ -1,17 +1,17 @@
-//! What happens at engines, and what comes back from them.
+//! Event handlers of the simulated engines.
 
 use std::time::Duration;
 
 use mimosashift::engine::{Failure, Label, Output};
 
-use super::{LEAVE_GRACE, World};
+use super::{LEAVE_GRACE, Simulation};
 use crate::policy::call::Driver;
 use crate::policy::engine::{Health, Job};
 use crate::policy::event::Event;
 use crate::policy::link::Link;
 
-impl World<'_> {
-    pub(super) fn arrive(&mut self, to: usize, job: Job) {
+impl Simulation<'_> {
+    pub(super) fn on_step_arrival(&mut self, to: usize, job: Job) {
         if job.step.label.position == 0 {
             self.check_leaving(to);
         }
@@ -23,39 +23,40 @@
             return self.reply(to, job, Err(failure));
         }
         match self.engines[to].enqueue(job) {
-            None => self.iterate(to),
+            None => self.start_iteration(to),
             Some((job, failure)) => self.reply(to, job, Err(failure)),
         }
     }
 
-    /// New work must not reach an endpoint that has been leaving for long.
+    /// Records a violation if new work reaches an endpoint that has been leaving for
+    /// longer than [`LEAVE_GRACE`].
     pub(super) fn check_leaving(&mut self, to: usize) {
         let leaving = self.engines[to].health == Health::Leaving;
         let since = self.plan.fault.map(|(_, at)| self.now.since(at));
         if leaving && since.is_some_and(|since| since > LEAVE_GRACE) {
-            self.tally.violation("new work for a leaving endpoint", self.now);
+            self.tally.record_violation("new work for a leaving endpoint", self.now);
         }
     }
 
-    pub(super) fn iterate(&mut self, at: usize) {
+    pub(super) fn start_iteration(&mut self, at: usize) {
         if let Some(time) = self.engines[at].start() {
             let epoch = self.engines[at].epoch;
-            self.later(time, Event::Iterated { at, epoch });
+            self.schedule(time, Event::IterationEnd { at, epoch });
         }
     }
 
-    pub(super) fn iterated(&mut self, at: usize, epoch: u32) {
+    pub(super) fn finish_iteration(&mut self, at: usize, epoch: u32) {
         if self.engines[at].epoch != epoch {
             return;
         }
         for (job, result) in self.engines[at].finish() {
             if result.is_ok() {
-                self.calls[job.call].ran += 1;
+                self.calls[job.call].steps_run += 1;
                 self.tally.steps += 1;
             }
             self.reply(at, job, result);
         }
-        self.iterate(at);
+        self.start_iteration(at);
     }
 
     pub(super) fn reply(&mut self, from: usize, job: Job, result: Result<Output, Failure>) {
@@ -63,7 +64,7 @@
         let bytes = result.as_ref().map_or(0, Link::bytes);
         let after = self.links[from].reply(bytes, self.now, latency);
         let label = job.step.label;
-        self.later(after, Event::Answer { call: job.call, from, label, result });
+        self.schedule(after, Event::Answer { call: job.call, from, label, result });
     }
 
     pub(super) fn export(&mut self, call: usize, from: usize, to: usize, label: Label) {
@@ -73,7 +74,7 @@
             Some(_) => Link::copy(&mut self.links, from, to, &label, self.now),
             None => Duration::from_millis(1),
         };
-        self.later(after, Event::Import { call, to, label, cache });
+        self.schedule(after, Event::Import { call, to, label, cache });
     }
 
     pub(super) fn import(&mut self, call: usize, to: usize, label: Label, cache: Option<Vec<u64>>) {
@@ -88,10 +89,10 @@
             }
             _ => Err(Failure::NoCache),
         };
-        self.later(latency, Event::Copied { call, to, label, result });
+        self.schedule(latency, Event::CopyResult { call, to, label, result });
     }
 
-    pub(super) fn copied(
+    pub(super) fn on_copy_result(
         &mut self,
         number: usize,
         to: usize,
@@ -105,6 +106,6 @@
         let router = &mut self.routers[call.router];
         let result = result.as_ref().copied();
         let actions = machine.on_import(&mut router.context(now), name, label, result);
-        self.act(number, actions);
+        self.apply_actions(number, actions);
     }
 }
--- a/mimosabench/src/policy/run/mod.rs
+++ b/mimosabench/src/policy/run/mod.rs
@@ -1,4 +1,4 @@
-//! One run: routers, engines and callers in virtual time.
+//! Discrete-event simulation of routers, engines and callers.
 
 use std::time::Duration;
 
@@ -22,52 +22,52 @@
 mod engines;
 mod routers;
 
-/// Lag of load reports.
+/// Interval between load samples; reports lag by one interval.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two polls and shares of a router.
+/// Interval at which a router polls endpoints and shares health reports.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two looks at a router's queue.
+/// Interval at which a router polls its admission queue.
 const QUEUE_INTERVAL: Duration = Duration::from_millis(20);
-/// Lag of the VM list.
-const LIST_LAG: Duration = Duration::from_secs(1);
-/// Time for which a leaving endpoint may still be given work.
+/// Delay until the VM list reflects a fault.
+const VM_LIST_LAG: Duration = Duration::from_secs(1);
+/// Time for which a leaving endpoint may still receive new work.
 const LEAVE_GRACE: Duration = Duration::from_secs(3);
 
-/// Who decides.
+/// The policy under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The decision code of the library.
+    /// Routing, admission and recovery of the library.
     Library,
-    /// Replicas in turn, no admission, failed requests start over.
+    /// Round-robin over replicas, no admission, failed requests restart.
     Naive,
 }
 
-/// A run to be made.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan<'a> {
-    /// The endpoints.
+    /// The simulated endpoints.
     pub fleet: &'a Fleet,
-    /// What callers ask for.
+    /// Request sizes and deadline.
     pub mix: &'a Mix,
-    /// Requests a second.
+    /// Offered load in requests per second.
     pub rate: f64,
-    /// How long requests come.
+    /// Time span in which requests arrive.
     pub duration: Duration,
-    /// The fault, and when it happens.
+    /// The fault to inject and its time.
     pub fault: Option<(Fault, Instant)>,
-    /// Who decides.
+    /// The policy under test.
     pub policy: Policy,
-    /// Seed of arrivals and of all choices.
+    /// Seed of arrivals and routing decisions.
     pub seed: u64,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     plan: Plan<'a>,
     now: Instant,
     queue: Queue,
     engines: Vec<Engine>,
     links: Vec<Link>,
-    /// Reports that engines give, and those that they give next.
+    /// Current and next load report of each engine.
     reports: Vec<(Load, Load)>,
     routers: Vec<Router>,
     calls: Vec<Call>,
@@ -77,25 +77,25 @@
     tally: Tally,
 }
 
-/// Makes a run and counts what came of every request.
+/// Runs a simulation and returns its statistics.
 pub fn run(plan: Plan<'_>) -> Tally {
-    let mut world = World::new(plan);
-    while let Some((at, event)) = world.queue.pop() {
-        world.now = at;
-        if world.is_over() {
+    let mut simulation = Simulation::new(plan);
+    while let Some((at, event)) = simulation.queue.pop() {
+        simulation.now = at;
+        if simulation.is_over() {
             break;
         }
-        world.handle(event);
+        simulation.handle(event);
     }
-    world.tally.finish(&world.calls);
-    world.tally
+    simulation.tally.record_requests(&simulation.calls);
+    simulation.tally
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(plan: Plan<'a>) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
         let endpoints = 0..plan.fleet.endpoints.len();
-        let mut world = Self {
+        let mut simulation = Self {
             now: Instant::ZERO,
             queue: Queue::default(),
             engines: endpoints.clone().map(|at| Engine::new(plan.fleet.engine(at))).collect(),
@@ -109,18 +109,18 @@
             tally: Tally::new(plan.fault.map(|(_, at)| at)),
             plan,
         };
-        world.queue.push(Instant::ZERO, Event::Request);
-        world.queue.push(Instant::ZERO, Event::Sample);
+        simulation.queue.push(Instant::ZERO, Event::Request);
+        simulation.queue.push(Instant::ZERO, Event::Sample);
         for router in 0..ROUTERS {
             let first = Instant::ZERO + UPKEEP_INTERVAL * router as u32 / ROUTERS as u32;
-            world.queue.push(first, Event::Upkeep { router });
-            world.queue.push(Instant::ZERO, Event::Queue { router });
+            simulation.queue.push(first, Event::Upkeep { router });
+            simulation.queue.push(Instant::ZERO, Event::Queue { router });
         }
         if let Some((_, at)) = plan.fault {
-            world.queue.push(at, Event::Fault);
-            world.queue.push(at + LIST_LAG, Event::Listed);
+            simulation.queue.push(at, Event::Fault);
+            simulation.queue.push(at + VM_LIST_LAG, Event::VmListUpdate);
         }
-        world
+        simulation
     }
 
     fn is_over(&self) -> bool {
@@ -129,35 +129,39 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Request => self.request(),
-            Event::Arrive { to, job } => self.arrive(to, job),
-            Event::Iterated { at, epoch } => self.iterated(at, epoch),
-            Event::Answer { call, from, label, result } => self.answer(call, from, label, result),
+            Event::Request => self.on_request(),
+            Event::Arrive { to, job } => self.on_step_arrival(to, job),
+            Event::IterationEnd { at, epoch } => self.finish_iteration(at, epoch),
+            Event::Answer { call, from, label, result } => {
+                self.on_answer(call, from, label, result)
+            }
             Event::Export { call, from, to, label } => self.export(call, from, to, label),
             Event::Import { call, to, label, cache } => self.import(call, to, label, cache),
-            Event::Copied { call, to, label, result } => self.copied(call, to, &label, &result),
+            Event::CopyResult { call, to, label, result } => {
+                self.on_copy_result(call, to, &label, &result)
+            }
             Event::Release { at, call, attempt } => self.engines[at].release(call, attempt),
-            Event::Timer { call } => self.timer(call),
-            Event::Sample => self.sample(),
-            Event::Upkeep { router } => self.upkeep(router),
-            Event::Queue { router } => self.look_at_queue(router),
-            Event::Fault => self.fault(),
-            Event::Listed => self.listed(),
+            Event::Timer { call } => self.on_timer(call),
+            Event::Sample => self.sample_loads(),
+            Event::Upkeep { router } => self.run_upkeep(router),
+            Event::Queue { router } => self.poll_queue(router),
+            Event::Fault => self.inject_fault(),
+            Event::VmListUpdate => self.update_vm_list(),
         }
     }
 
-    fn later(&mut self, after: Duration, event: Event) {
+    fn schedule(&mut self, after: Duration, event: Event) {
         self.queue.push(self.now + after, event);
     }
 
-    // Callers.
+    // Requests.
 
-    fn request(&mut self) {
+    fn on_request(&mut self) {
         if self.now.since(Instant::ZERO) > self.plan.duration {
             return;
         }
         let gap = -(1.0 - self.arrivals.random::<f64>()).ln() / self.plan.rate;
-        self.later(Duration::from_secs_f64(gap), Event::Request);
+        self.schedule(Duration::from_secs_f64(gap), Event::Request);
         let (prompt, max_tokens) = self.plan.mix.draw(&mut self.arrivals);
         let number = self.calls.len();
         let request = Request {
@@ -188,7 +192,7 @@
             self.tally.no_chain += 1;
             self.close(number, End::Refused);
         }
-        self.verdicts(router, out);
+        self.apply_decisions(router, out);
     }
 
     fn start_naive(&mut self, number: usize) {
@@ -197,10 +201,10 @@
         self.next_replica = (self.next_replica + 1) % replicas;
         let actions = naive.start(self.plan.fleet);
         self.calls[number].driver = Driver::Naive(naive);
-        self.act(number, actions);
+        self.apply_actions(number, actions);
     }
 
-    fn verdicts(&mut self, router: usize, mut out: Vec<admit::Action>) {
+    fn apply_decisions(&mut self, router: usize, mut out: Vec<admit::Action>) {
         while !out.is_empty() {
             let mut next = Vec::new();
             for action in out {
@@ -208,8 +212,8 @@
                     admit::Action::Dispatch(ticket) => self.dispatch(router, ticket, &mut next),
                     admit::Action::Refuse { ticket, refusal, .. } => {
                         let call = self.routers[router].waiting.remove(&ticket);
-                        self.tally.refuse(refusal);
-                        self.close(call.expect("a verdict is given once"), End::Refused);
+                        self.tally.record_refusal(refusal);
+                        self.close(call.expect("each ticket is decided once"), End::Refused);
                     }
                 }
             }
@@ -219,22 +223,22 @@
 
     fn dispatch(&mut self, router: usize, ticket: admit::Ticket, out: &mut Vec<admit::Action>) {
         let (now, fleet) = (self.now, self.plan.fleet);
-        let shell = &mut self.routers[router];
-        let number = shell.waiting.remove(&ticket).expect("a verdict is given once");
+        let state = &mut self.routers[router];
+        let number = state.waiting.remove(&ticket).expect("each ticket is decided once");
         let request = self.calls[number].request.clone();
-        let Ok(held) = shell.begin(fleet, &request, now) else {
+        let Ok(active) = state.begin(fleet, &request, now) else {
             let usage = admit::Usage { tokens: 0, overloaded: false };
-            shell.admission.release(now, ticket, usage, out);
+            state.admission.release(now, ticket, usage, out);
             self.tally.no_chain += 1;
             return self.close(number, End::Refused);
         };
-        let cost = cost(fleet, &held.chain);
-        let chain = held.chain.clone();
+        let cost = cost(fleet, &active.chain);
+        let chain = active.chain.clone();
         let limits = TimeoutLimits::default();
         let (machine, actions) =
-            Machine::start(&mut shell.context(now), request, chain, cost, limits);
-        self.calls[number].driver = Driver::Machine { machine: Box::new(machine), held, ticket };
-        self.act(number, actions);
+            Machine::start(&mut state.context(now), request, chain, cost, limits);
+        self.calls[number].driver = Driver::Machine { machine: Box::new(machine), active, ticket };
+        self.apply_actions(number, actions);
     }
 
     fn close(&mut self, number: usize, end: End) {
@@ -244,26 +248,26 @@
         }
         (call.end, call.ended) = (end, self.now);
         self.open -= 1;
-        if end == End::Refused && call.ran > 0 {
-            self.tally.violation("a refused request ran", self.now);
+        if end == End::Refused && call.steps_run > 0 {
+            self.tally.record_violation("refused request ran a step", self.now);
         }
     }
 
-    // Actions of machines.
+    // Actions of the request state machines.
 
-    fn act(&mut self, number: usize, actions: Actions) {
+    fn apply_actions(&mut self, number: usize, actions: Actions) {
         let mut left = actions;
         while !left.is_empty() {
             let mut next = Actions::new();
             for action in left {
-                next.extend(self.perform(number, action));
+                next.extend(self.apply_action(number, action));
             }
             left = next;
         }
         self.set_timer(number);
     }
 
-    fn perform(&mut self, number: usize, action: Action) -> Actions {
+    fn apply_action(&mut self, number: usize, action: Action) -> Actions {
         match action {
             Action::Send { endpoint, step, timeout } => {
                 let to = fleet::number(&endpoint);
@@ -277,28 +281,28 @@
                 let router = call.router;
                 let latency = self.plan.fleet.latency(router, to);
                 let after = self.links[to].send(&step.input, self.now, latency);
-                self.later(after, Event::Arrive { to, job: Job { router, call: number, step } });
+                self.schedule(after, Event::Arrive { to, job: Job { router, call: number, step } });
             }
             Action::Import { from, to, label, .. } => {
                 let (from, to) = (fleet::number(&from), fleet::number(&to));
                 let latency = self.plan.fleet.latency(self.calls[number].router, to);
-                self.later(latency, Event::Export { call: number, from, to, label });
+                self.schedule(latency, Event::Export { call: number, from, to, label });
             }
             Action::CancelEngine { endpoint, attempt, .. } => {
                 let at = fleet::number(&endpoint);
                 let latency = self.plan.fleet.latency(self.calls[number].router, at);
-                self.later(latency, Event::Release { at, call: number, attempt });
+                self.schedule(latency, Event::Release { at, call: number, attempt });
             }
             Action::Emit(token) => self.emit(number, token),
             Action::NeedChain { avoid, scope } => {
                 let now = self.now;
                 let call = &mut self.calls[number];
-                let Driver::Machine { machine, held, .. } = &mut call.driver else {
+                let Driver::Machine { machine, active, .. } = &mut call.driver else {
                     return Actions::new();
                 };
                 let router = &mut self.routers[call.router];
                 let found =
-                    router.replace(self.plan.fleet, &call.request, held, &avoid, scope, now);
+                    router.replace(self.plan.fleet, &call.request, active, &avoid, scope, now);
                 return machine.on_chain(&mut router.context(now), found);
             }
             Action::NeedHedge { .. } => {}
@@ -309,8 +313,8 @@
 
     fn emit(&mut self, number: usize, token: u32) {
         let call = &mut self.calls[number];
-        call.tried += 1;
-        if call.tried <= call.emitted {
+        call.attempt_tokens += 1;
+        if call.attempt_tokens <= call.emitted {
             return;
         }
         call.emitted += 1;
@@ -324,9 +328,9 @@
         }
         call.last_token = self.now;
         if token == expected {
-            self.tally.token(self.now);
+            self.tally.record_token(self.now);
         } else {
-            self.tally.violation("a wrong token", self.now);
+            self.tally.record_violation("wrong token", self.now);
         }
     }
 
@@ -336,30 +340,30 @@
         let router = call.router;
         let whole = *outcome == Outcome::Complete;
         if whole && call.emitted != call.request.max_tokens {
-            self.tally.violation("an answer is not whole", now);
+            self.tally.record_violation("completed answer has the wrong number of tokens", now);
         }
         let effect = match outcome {
             Outcome::Failed { effect, .. } | Outcome::DeadlineExceeded { effect } => *effect,
             Outcome::Complete | Outcome::Cancelled => Effect::Failed,
         };
-        if effect == Effect::NotRun && call.ran > 0 {
-            self.tally.violation("a request said not to have run did", now);
+        if effect == Effect::NotRun && call.steps_run > 0 {
+            self.tally.record_violation("request reported as not run had run a step", now);
         }
         let tokens = call.request.prompt.len() as u32 + call.emitted;
         let overloaded = call.overloaded;
         let driver = std::mem::replace(&mut call.driver, Driver::Done);
         call.flight = None;
         if !whole {
-            self.tally.lose(outcome, call.arrived);
+            self.tally.record_loss(outcome, call.arrived);
         }
-        self.close(number, if whole { End::Whole } else { End::Lost });
-        let Driver::Machine { held, ticket, .. } = driver else { return };
-        let shell = &mut self.routers[router];
-        shell.end(&held);
+        self.close(number, if whole { End::Complete } else { End::Lost });
+        let Driver::Machine { active, ticket, .. } = driver else { return };
+        let state = &mut self.routers[router];
+        state.end(&active);
         let mut out = Vec::new();
         let usage = admit::Usage { tokens, overloaded };
-        shell.admission.release(now, ticket, usage, &mut out);
-        self.verdicts(router, out);
+        state.admission.release(now, ticket, usage, &mut out);
+        self.apply_decisions(router, out);
     }
 
     fn set_timer(&mut self, number: usize) {
@@ -379,7 +383,7 @@
         }
     }
 
-    fn timer(&mut self, number: usize) {
+    fn on_timer(&mut self, number: usize) {
         let now = self.now;
         if self.calls[number].timer.is_none_or(|timer| timer > now) {
             return;
@@ -388,7 +392,7 @@
         let expired = self.calls[number].flight.take_if(|flight| now >= flight.until);
         if let Some(Flight { to, label, sent, .. }) = expired {
             let failure = Failure::Silent(now.since(sent.at));
-            return self.failed(number, to, &label, &failure, sent.at);
+            return self.on_failure(number, to, &label, &failure, sent.at);
         }
         let call = &mut self.calls[number];
         let actions = match &mut call.driver {
@@ -398,10 +402,10 @@
             Driver::Naive(naive) if now >= call.request.deadline => naive.expire(self.plan.fleet),
             _ => Actions::new(),
         };
-        self.act(number, actions);
+        self.apply_actions(number, actions);
     }
 
-    fn failed(
+    fn on_failure(
         &mut self,
         number: usize,
         from: usize,
@@ -410,7 +414,7 @@
         sent: Instant,
     ) {
         let now = self.now;
-        self.tally.fail(failure, label);
+        self.tally.record_failure(failure, label);
         let name = &self.plan.fleet.endpoints[from].0;
         let call = &mut self.calls[number];
         let router = &mut self.routers[call.router];
@@ -421,15 +425,15 @@
                 machine.on_failure(&mut router.context(now), name, label, failure, None)
             }
             Driver::Naive(naive) => {
-                call.tried = 0;
+                call.attempt_tokens = 0;
                 naive.on_failure(self.plan.fleet, label)
             }
             Driver::Waiting | Driver::Done => Actions::new(),
         };
-        self.act(number, actions);
+        self.apply_actions(number, actions);
     }
 
-    fn answer(
+    fn on_answer(
         &mut self,
         number: usize,
         from: usize,
@@ -443,7 +447,7 @@
         let output = match result {
             Ok(output) => output,
             Err(failure) => {
-                return self.failed(number, from, &label, &failure, flight.sent.at);
+                return self.on_failure(number, from, &label, &failure, flight.sent.at);
             }
         };
         let name = &self.plan.fleet.endpoints[from].0;
@@ -456,6 +460,6 @@
             Driver::Naive(naive) => naive.on_reply(self.plan.fleet, &label, output),
             Driver::Waiting | Driver::Done => Actions::new(),
         };
-        self.act(number, actions);
+        self.apply_actions(number, actions);
     }
 }
--- a/mimosabench/src/policy/run/routers.rs
+++ b/mimosabench/src/policy/run/routers.rs
@@ -1,34 +1,34 @@
-//! What routers do without being asked, and what fails.
+//! Periodic router tasks and fault injection.
 
 use std::time::Duration;
 
 use mimosashift::engine::Failure;
 use mimosashift::resource::Name;
 
-use super::{QUEUE_INTERVAL, REPORT_INTERVAL, UPKEEP_INTERVAL, World};
+use super::{QUEUE_INTERVAL, REPORT_INTERVAL, Simulation, UPKEEP_INTERVAL};
 use crate::policy::call::{Driver, End};
 use crate::policy::engine::Health;
 use crate::policy::event::Event;
 use crate::policy::fleet::{self, ROUTERS};
 
-impl World<'_> {
-    pub(super) fn sample(&mut self) {
+impl Simulation<'_> {
+    pub(super) fn sample_loads(&mut self) {
         for (report, engine) in self.reports.iter_mut().zip(&self.engines) {
             let next = std::mem::replace(&mut report.1, engine.load());
             report.0 = next;
         }
-        self.later(REPORT_INTERVAL, Event::Sample);
+        self.schedule(REPORT_INTERVAL, Event::Sample);
     }
 
-    pub(super) fn upkeep(&mut self, number: usize) {
+    pub(super) fn run_upkeep(&mut self, number: usize) {
         if !self.routers[number].up {
             return;
         }
         let now = self.now;
         let up: Vec<usize> = (0..ROUTERS).filter(|&at| self.routers[at].up).collect();
-        let place = up.iter().position(|&at| at == number).expect("it is up");
+        let index = up.iter().position(|&at| at == number).expect("this router is up");
         for (at, (name, _)) in self.plan.fleet.endpoints.iter().enumerate() {
-            if at % up.len() == place {
+            if at % up.len() == index {
                 self.poll(number, at, name);
             }
         }
@@ -39,7 +39,7 @@
         for other in up.into_iter().filter(|&other| other != number) {
             self.routers[other].health.merge(&share, now);
         }
-        self.later(UPKEEP_INTERVAL, Event::Upkeep { router: number });
+        self.schedule(UPKEEP_INTERVAL, Event::Upkeep { router: number });
     }
 
     pub(super) fn poll(&mut self, router: usize, at: usize, name: &Name) {
@@ -60,30 +60,30 @@
         }
     }
 
-    pub(super) fn look_at_queue(&mut self, number: usize) {
+    pub(super) fn poll_queue(&mut self, number: usize) {
         if !self.routers[number].up {
             return;
         }
         let mut out = Vec::new();
         self.routers[number].admission.poll(self.now, &mut out);
-        self.verdicts(number, out);
-        self.later(QUEUE_INTERVAL, Event::Queue { router: number });
+        self.apply_decisions(number, out);
+        self.schedule(QUEUE_INTERVAL, Event::Queue { router: number });
     }
 
-    // Faults.
+    // Fault injection.
 
-    pub(super) fn fault(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         let Some((fault, _)) = self.plan.fault else { return };
-        let hit = fault.hits(self.plan.fleet);
-        for &at in &hit.endpoints {
-            if let Some(health) = hit.health {
+        let impact = fault.impact(self.plan.fleet);
+        for &at in &impact.endpoints {
+            if let Some(health) = impact.health {
                 self.fail_engine(at, health);
             }
-            if let Some(factor) = hit.slower {
+            if let Some(factor) = impact.slowdown {
                 self.links[at].degrade(factor);
             }
         }
-        for &router in &hit.routers {
+        for &router in &impact.routers {
             self.routers[router].up = false;
             for number in 0..self.calls.len() {
                 if self.calls[number].router == router && self.calls[number].end == End::Open {
@@ -108,14 +108,14 @@
         }
     }
 
-    pub(super) fn listed(&mut self) {
+    pub(super) fn update_vm_list(&mut self) {
         let Some((fault, _)) = self.plan.fault else { return };
-        let hit = fault.hits(self.plan.fleet);
-        if hit.health != Some(Health::Leaving) {
+        let impact = fault.impact(self.plan.fleet);
+        if impact.health != Some(Health::Leaving) {
             return;
         }
         for router in self.routers.iter_mut().filter(|router| router.up) {
-            router.health.apply_vm_list(1, |name| hit.endpoints.contains(&fleet::number(name)));
+            router.health.apply_vm_list(1, |name| impact.endpoints.contains(&fleet::number(name)));
         }
     }
 }
--- a/mimosabench/src/policy/tally.rs
+++ b/mimosabench/src/policy/tally.rs
@@ -1,4 +1,4 @@
-//! What came of the requests of a run.
+//! Statistics of a simulation run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,42 +10,42 @@
 
 use super::call::{Call, End};
 
-/// Width of a bin of the token flow.
+/// Bin width of the token throughput histogram.
 pub const BIN: Duration = Duration::from_millis(100);
 
-/// One ended request.
+/// Record of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Done {
-    /// When it came.
+    /// Arrival time.
     pub arrived: Instant,
-    /// When it ended.
+    /// End time.
     pub ended: Instant,
     /// How it ended.
     pub end: End,
-    /// Tokens of its prompt and of its whole answer.
+    /// Prompt tokens and requested answer tokens.
     pub size: (u32, u32),
-    /// Pause around the fault, if it had begun to answer before.
+    /// Pause around the fault, if the answer had begun before it.
     pub pause: Option<Duration>,
 }
 
-/// Counts of a run.
+/// Statistics of a run.
 #[derive(Debug)]
 pub struct Tally {
     /// Every request, in order of arrival.
     pub done: Vec<Done>,
-    /// Correct tokens that callers got, by time.
+    /// Correct tokens delivered, in bins of [`BIN`].
     pub flow: Vec<u32>,
-    /// Steps that engines ran.
+    /// Steps completed by engines.
     pub steps: u64,
-    /// Requests for which no chain was found on arrival.
+    /// Requests for which no chain was found on arrival or dispatch.
     pub no_chain: u64,
-    /// Admitted requests that were not answered, by outcome.
+    /// Admitted requests that failed, by outcome.
     pub lost: BTreeMap<String, u64>,
-    /// Steps without an answer, by cause and kind of step.
+    /// Failed steps, by cause and kind of step.
     pub failed: BTreeMap<String, u64>,
     /// Refusals, by cause.
     pub refused: BTreeMap<&'static str, u64>,
-    /// Breaches of what must always hold.
+    /// Violated invariants.
     pub violations: Vec<String>,
     fault: Option<Instant>,
 }
@@ -65,45 +65,47 @@
         }
     }
 
-    /// Requests that ended in this way.
+    /// Number of requests that ended with `end`.
     pub fn ended(&self, end: End) -> usize {
         self.done.iter().filter(|done| done.end == end).count()
     }
 
-    /// Share of the requests that came in a span and were answered in time.
+    /// Share of the requests that arrived in a time span and were answered in time.
     pub fn served_share(&self, from: Instant, to: Instant) -> f64 {
-        let came = self.done.iter().filter(|done| (from..to).contains(&done.arrived));
+        let arrived = self.done.iter().filter(|done| (from..to).contains(&done.arrived));
         let (mut all, mut whole) = (0, 0);
-        for done in came {
+        for done in arrived {
             all += 1;
-            whole += usize::from(done.end == End::Whole);
+            whole += usize::from(done.end == End::Complete);
         }
         whole as f64 / f64::from(all.max(1))
     }
 
-    /// Work of the requests answered in a span, by a measure of their size.
+    /// Total work of the requests answered in a time span, with `measure` giving the
+    /// work for a prompt and answer length.
     pub fn work(&self, from: Instant, to: Instant, measure: impl Fn(f64, f64) -> f64) -> f64 {
-        let whole = self.done.iter().filter(|done| done.end == End::Whole);
+        let whole = self.done.iter().filter(|done| done.end == End::Complete);
         let ended = whole.filter(|done| (from..to).contains(&done.ended));
         ended.map(|done| measure(f64::from(done.size.0), f64::from(done.size.1))).sum()
     }
 
-    /// Mean flow of tokens a second over a span.
+    /// Mean token throughput per second over a time span.
     pub fn flow_over(&self, from: Instant, to: Instant) -> f64 {
         let bin = |at: Instant| at.since(Instant::ZERO).div_duration_f64(BIN) as usize;
         let bins = self.flow.iter().skip(bin(from)).take(bin(to) - bin(from));
         f64::from(bins.sum::<u32>()) / to.since(from).as_secs_f64()
     }
 
-    /// The pause that 95 in 100 of the interrupted answers stayed under.
+    /// Quantile `share` of the pauses in interrupted answers, 0.95 for the 95th
+    /// percentile.
     pub fn pause(&self, share: f64) -> Duration {
         let mut pauses: Vec<Duration> = self.done.iter().filter_map(|done| done.pause).collect();
         pauses.sort();
-        let place = (pauses.len() as f64 * share) as usize;
-        pauses.get(place.min(pauses.len().saturating_sub(1))).copied().unwrap_or_default()
+        let index = (pauses.len() as f64 * share) as usize;
+        pauses.get(index.min(pauses.len().saturating_sub(1))).copied().unwrap_or_default()
     }
 
-    pub(super) fn token(&mut self, now: Instant) {
+    pub(super) fn record_token(&mut self, now: Instant) {
         let bin = now.since(Instant::ZERO).div_duration_f64(BIN) as usize;
         if self.flow.len() <= bin {
             self.flow.resize(bin + 1, 0);
@@ -111,7 +113,7 @@
         self.flow[bin] += 1;
     }
 
-    pub(super) fn refuse(&mut self, refusal: Refusal) {
+    pub(super) fn record_refusal(&mut self, refusal: Refusal) {
         let cause = match refusal {
             Refusal::Late => "late",
             Refusal::OverLimit => "over limit",
@@ -120,7 +122,7 @@
         *self.refused.entry(cause).or_default() += 1;
     }
 
-    pub(super) fn fail(&mut self, failure: &Failure, label: &Label) {
+    pub(super) fn record_failure(&mut self, failure: &Failure, label: &Label) {
         let kind = match failure {
             Failure::Silent(_) => "silent",
             Failure::Unreachable(_) => "unreachable",
@@ -134,7 +136,7 @@
         *self.failed.entry(format!("{step} {kind}")).or_default() += 1;
     }
 
-    pub(super) fn lose(&mut self, outcome: &Outcome, arrived: Instant) {
+    pub(super) fn record_loss(&mut self, outcome: &Outcome, arrived: Instant) {
         let before = self.fault.is_some_and(|fault| arrived < fault);
         let cause = match outcome {
             Outcome::Failed { code, .. } => format!("{code:?}"),
@@ -144,11 +146,11 @@
         *self.lost.entry(format!("{cause}{when}")).or_default() += 1;
     }
 
-    pub(super) fn violation(&mut self, what: &str, now: Instant) {
+    pub(super) fn record_violation(&mut self, what: &str, now: Instant) {
         self.violations.push(format!("{what} at {} us", now.as_micros()));
     }
 
-    pub(super) fn finish(&mut self, calls: &[Call]) {
+    pub(super) fn record_requests(&mut self, calls: &[Call]) {
         self.done = calls
             .iter()
             .map(|call| Done {
--- a/mimosabench/src/slopes/admission.rs
+++ b/mimosabench/src/slopes/admission.rs
@@ -1,4 +1,4 @@
-//! Admission and team limits.
+//! Cost of admission and team limits.
 
 use std::time::Duration;
 
@@ -16,33 +16,33 @@
 const TEAMS: [usize; 5] = [100, 1_000, 4_000, 12_000, 31_000];
 const REPORTED: [usize; 4] = [2_000, 8_000, 20_000, 65_000];
 const PEERS: [usize; 4] = [3, 33, 100, 369];
-/// Other routers of a failure domain.
-const NEAR_PEERS: usize = 33;
+/// Number of other routers in a failure domain.
+const DOMAIN_PEERS: usize = 33;
 
 const NOW: Instant = Instant::from_millis(1_000);
 
-/// Time and memory by active teams, and the size of reports.
+/// Measures time and memory by active teams, and the size of demand reports.
 pub fn measure() -> Vec<Series> {
     vec![
         series([ROLE, "request, admitted to released", "µs", "active teams"], &TEAMS, |teams| {
-            let mut busy = Busy::new(teams);
+            let mut loaded = LoadedAdmission::new(teams);
             let mut next = 0;
             cpu::micros_per_call(|| {
-                busy.request(next % teams);
+                loaded.request(next % teams);
                 next += 1;
             })
         }),
         series([ROLE, "state", "bytes", "active teams"], &TEAMS, state_bytes),
         series([ROLE, "report made", "µs", "active teams"], &TEAMS, |teams| {
-            let mut busy = Busy::new(teams);
-            busy.all();
-            cpu::micros_per_call(|| busy.admission.report(busy.now, 33))
+            let mut loaded = LoadedAdmission::new(teams);
+            loaded.submit_each();
+            cpu::micros_per_call(|| loaded.admission.report(loaded.now, 33))
         }),
         series([ROLE, "demand of peers", "bytes", "reported teams"], &REPORTED, |teams| {
-            memory::retained(|| heard(teams)).1
+            memory::retained(|| with_peer_demand(teams)).1
         }),
         series([ROLE, "report made beside them", "µs", "reported teams"], &REPORTED, |teams| {
-            let mut admission = heard(teams);
+            let mut admission = with_peer_demand(teams);
             cpu::micros_per_call(|| admission.report(NOW, 33))
         }),
         series([ROLE, "reports to all peers", "bytes/s", "peers"], &PEERS, report_bytes_per_second),
@@ -54,85 +54,87 @@
     ]
 }
 
-/// Bytes held when every team has sent a request to this router and to one
+/// Memory retained when every team has sent a request to this router and to one
 /// peer.
 pub fn state_bytes(teams: usize) -> f64 {
     let names = names(teams);
     let held = || {
-        let mut busy = Busy::empty();
+        let mut loaded = LoadedAdmission::empty();
         for name in &names {
-            busy.submit(name);
+            loaded.submit(name);
         }
-        busy
+        loaded
     };
-    let (mut busy, own) = memory::retained(held);
+    let (mut loaded, own) = memory::retained(held);
     let peer = fleet::name("router-2");
     let merged = || {
         loop {
-            let report = busy.admission.report(NOW, 0);
+            let report = loaded.admission.report(NOW, 0);
             if report.entries.is_empty() {
                 return;
             }
-            busy.admission.merge(NOW, &peer, &report);
+            loaded.admission.merge(NOW, &peer, &report);
         }
     };
     own + memory::retained(merged).1
 }
 
-/// An admission that has heard of so many teams from a domain's other routers.
-pub fn heard(teams: usize) -> Admission {
-    let mut busy = Busy::new(teams);
-    let mut heard = Busy::empty().admission;
-    busy.submit_at_once();
-    for peer in (0..NEAR_PEERS).map(|peer| fleet::name(&format!("router-{peer}"))).cycle() {
-        let report = busy.admission.report(NOW, 0);
+/// Admission state with demand reports of `teams` teams merged from the other
+/// routers of a failure domain.
+pub fn with_peer_demand(teams: usize) -> Admission {
+    let mut loaded = LoadedAdmission::new(teams);
+    let mut receiver = LoadedAdmission::empty().admission;
+    loaded.submit_at_once();
+    for peer in (0..DOMAIN_PEERS).map(|peer| fleet::name(&format!("router-{peer}"))).cycle() {
+        let report = loaded.admission.report(NOW, 0);
         if report.entries.is_empty() {
-            return heard;
+            return receiver;
         }
-        heard.merge(NOW, &peer, &report);
+        receiver.merge(NOW, &peer, &report);
     }
-    heard
+    receiver
 }
 
-/// Bytes a second of reports to all of `peers` routers in a crowd, without
-/// the frames around them.
+/// Bytes per second of demand reports to `peers` routers with 4,000 active
+/// teams, without framing.
 pub fn report_bytes_per_second(peers: usize) -> f64 {
-    encode(&crowd_report(peers)).len() as f64 * reports_per_second() * peers as f64
+    encode(&many_team_report(peers)).len() as f64 * reports_per_second() * peers as f64
 }
 
-/// Bytes a second that these reports take on the network, sent only.
+/// Bytes per second that these reports use on the network, in the sending
+/// direction only.
 pub fn sent_bytes_per_second(peers: usize) -> f64 {
-    let payload = Payload { tag: 2, bytes: encode(&crowd_report(peers)) };
+    let payload = Payload { tag: 2, bytes: encode(&many_team_report(peers)) };
     let bytes = super::membership::datagram_bytes(Message::Reports(vec![payload]));
     bytes as f64 * reports_per_second() * peers as f64
 }
 
-fn crowd_report(peers: usize) -> Report {
-    let mut busy = Busy::new(4_000);
-    busy.all();
-    busy.admission.report(busy.now, peers)
+fn many_team_report(peers: usize) -> Report {
+    let mut loaded = LoadedAdmission::new(4_000);
+    loaded.submit_each();
+    loaded.admission.report(loaded.now, peers)
 }
 
 fn encode(report: &Report) -> Vec<u8> {
-    postcard::to_stdvec(report).expect("a report can be encoded")
+    postcard::to_stdvec(report).expect("demand reports are serializable")
 }
 
 fn reports_per_second() -> f64 {
     1.0 / share::REPORT_INTERVAL.as_secs_f64()
 }
 
-/// An admission and the teams that use it.
-struct Busy {
+/// Admission state with a synthetic load of teams.
+struct LoadedAdmission {
     admission: Admission,
     team: Team,
     names: Vec<Name>,
     out: Vec<Action>,
     now: Instant,
-    /// Time between two requests.
-    pause: Duration,
+    /// Interval between two requests.
+    interval: Duration,
 }
 
-impl Busy {
+impl LoadedAdmission {
     fn empty() -> Self {
         let bounds = Bounds { queued: 256, queued_bytes: 8 << 20, start_slots: 64, max_slots: 256 };
         let team = Team {
@@ -149,23 +151,23 @@
             names: Vec::new(),
             out: Vec::new(),
             now: NOW,
-            pause: Duration::ZERO,
+            interval: Duration::ZERO,
         }
     }
 
     fn new(teams: usize) -> Self {
-        let pause = Duration::from_secs(1) / teams as u32;
-        Self { names: names(teams), pause, ..Self::empty() }
+        let interval = Duration::from_secs(1) / teams as u32;
+        Self { names: names(teams), interval, ..Self::empty() }
     }
 
-    /// A request of each team at the same moment.
+    /// Submits one request per team at the same time.
     fn submit_at_once(&mut self) {
         let names = std::mem::take(&mut self.names);
-        self.pause = Duration::ZERO;
+        self.interval = Duration::ZERO;
         names.iter().for_each(|name| self.submit(name));
     }
 
-    fn all(&mut self) {
+    fn submit_each(&mut self) {
         (0..self.names.len()).for_each(|team| self.request(team));
     }
 
@@ -174,9 +176,9 @@
         self.submit(&name);
     }
 
-    /// A request that is admitted at once and released.
+    /// Submits a request that is admitted immediately and released.
     fn submit(&mut self, name: &Name) {
-        self.now = self.now + self.pause;
+        self.now = self.now + self.interval;
         let now = self.now;
         let request = Request {
             name,
--- a/mimosabench/src/slopes/audit.rs
+++ b/mimosabench/src/slopes/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: one record for each change.
+//! Size of audit records; each configuration change writes one.
 
 use mimosashift::config::Record;
 use mimosashift::config::transfer::Reply;
@@ -13,7 +13,7 @@
 const ROLE: &str = "audit";
 const TOKENS: [usize; 4] = [1, 4, 16, 64];
 
-/// Bytes by the size of the changed resource.
+/// Measures record sizes by the size of the changed resource.
 pub fn measure() -> Vec<Series> {
     let record = |tokens| record(tokens);
     vec![
@@ -36,23 +36,24 @@
     ]
 }
 
-/// Bytes of a record's row.
+/// Size of a stored record in bytes.
 pub fn stored_bytes(record: &Record) -> usize {
     serde_json::to_string(record).expect("a record has only string keys").len()
 }
 
-/// Bytes of the frame that takes a record to one peer.
+/// Size in bytes of the frame that replicates a record to one peer.
 pub fn pushed_bytes(record: Record) -> usize {
     frame_bytes(&Reply::Records(vec![record])).expect("a record fits a frame")
 }
 
-/// The record of a change to a team with so many tokens before and after.
+/// Record of a change to a team that has `tokens` tokens before and after it.
 pub fn record(tokens: usize) -> Record {
-    let table = unlimited_table().expect("loopback has a free port");
+    let table = unlimited_table().expect("no free loopback port");
     let mut state = Default::default();
     let mut last = Vec::new();
     for resource in fleet::base().into_iter().chain([team(tokens, 1), team(tokens, 2)]) {
-        let committed = commit(&table, state, resource).expect("nothing competes for the table");
+        let committed =
+            commit(&table, state, resource).expect("the table has no concurrent writers");
         (state, last) = committed;
     }
     last.pop().expect("a change has a record")
--- a/mimosabench/src/slopes/choice.rs
+++ b/mimosabench/src/slopes/choice.rs
@@ -1,4 +1,4 @@
-//! Choice of chains.
+//! Cost of chain selection.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -21,7 +21,7 @@
 const PREFIXES: [usize; 4] = [1_024, 4_096, 8_192, 16_384];
 const NOW: Instant = Instant::from_millis(1);
 
-/// Time of a choice, and of the table that it needs.
+/// Measures the time of a chain choice and the cost of its routing table.
 pub fn measure() -> Vec<Series> {
     let choice = |endpoints| micros_per_choice(&fleet::snapshot(0, endpoints));
     let table = |endpoints| table_bytes(&fleet::snapshot(0, endpoints));
@@ -37,19 +37,19 @@
     ]
 }
 
-/// Bytes that the table of a configuration holds.
+/// Memory retained by the routing table of a configuration.
 pub fn table_bytes(snapshot: &Snapshot) -> f64 {
     memory::retained(|| build(snapshot)).1
 }
 
-/// Bytes that a full index of so many prefixes holds.
+/// Memory retained by a full index of `prefixes` prefixes.
 pub fn index_bytes(prefixes: usize) -> f64 {
     let settings = affinity::Settings { max_prefixes: prefixes, expiry: Duration::from_secs(300) };
     let holders: Vec<_> =
         (0..affinity::MAX_HOLDERS).map(|n| fleet::name(&format!("engine-{n:04}"))).collect();
     let full = || {
         let mut index = Affinity::new(settings);
-        // The index keeps two generations, each of at most so many prefixes.
+        // The index keeps two generations of at most `prefixes` prefixes each.
         for prefix in 0..2 * prefixes as u64 {
             holders.iter().for_each(|holder| index.store(holder, &[prefix], NOW));
         }
@@ -58,7 +58,7 @@
     memory::retained(full).1
 }
 
-/// Distances from the first failure domain.
+/// Network distances from the first failure domain.
 pub(super) fn distances() -> Distances {
     Distances::new(fleet::name("domain-0"), Duration::from_micros(500), BTreeMap::new())
 }
@@ -79,7 +79,7 @@
     let affinity = Affinity::default();
     let sources = Sources { health: &registry, affinity: &affinity };
     let model = fleet::name("model");
-    let ask = RouteRequest {
+    let request = RouteRequest {
         pipeline: &model,
         version: 1,
         prompt_tokens: 512,
@@ -91,7 +91,7 @@
         kept: &[],
     };
     cpu::micros_per_call(|| {
-        let choice = table.choose(&ask, &sources, NOW, &mut rng);
+        let choice = table.choose(&request, &sources, NOW, &mut rng);
         black_box(choice.expect("every layer has a live holder"));
     })
 }
--- a/mimosabench/src/slopes/config.rs
+++ b/mimosabench/src/slopes/config.rs
@@ -1,5 +1,5 @@
-//! Configuration: size, changes, the spread to other routers and the reads of
-//! the table.
+//! Cost of configuration: snapshot size, changes, replication to other routers
+//! and table reads.
 
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -30,25 +30,25 @@
 const TABLE_RESOURCES: [usize; 4] = [250, 1_000, 2_000, 4_000];
 const DOMAINS: [usize; 4] = [1, 3, 6, 11];
 
-/// Routers of each failure domain in the measurement of polls; only one of
-/// them polls, however many there are.
+/// Routers per failure domain when polls are measured; only one of them polls,
+/// regardless of their number.
 const ROUTERS: usize = 4;
 
-/// Time in which the pollers of the domains settle.
+/// Warm-up time until each domain has one poller.
 const SETTLE: Duration = Duration::from_secs(10);
 
-/// Time for which polls are counted.
-const COUNTED: Duration = Duration::from_secs(100);
+/// Measurement time for polls.
+const MEASURED: Duration = Duration::from_secs(100);
 
-/// Time between two ticks of a router.
+/// Tick interval of a router.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Costs by resources and by failure domains.
+/// Measures the cost by number of resources and of failure domains.
 pub fn measure() -> Result<Vec<Series>, Error> {
     let mut table_calls = Vec::new();
     let mut transfer_bytes = Vec::new();
     for resources in TABLE_RESOURCES {
-        let (table, state) = committed(resources)?;
+        let (table, state) = populated_table(resources)?;
         table_calls.push((resources as f64, load_calls(&table)? as f64));
         transfer_bytes.push((resources as f64, transfer(&state)? as f64));
     }
@@ -60,32 +60,32 @@
     Ok(vec![
         series([ROLE, "snapshot", "bytes", "resources"], &RESOURCES, snapshot_bytes),
         series([ROLE, "change applied", "µs", "resources"], &RESOURCES, micros_per_change),
-        series([ROLE, "revision kept beside it", "bytes", "resources"], &RESOURCES, kept_bytes),
+        series([ROLE, "revision kept beside it", "bytes", "resources"], &RESOURCES, revision_bytes),
         of("snapshot sent to a new router", "bytes", "resources", transfer_bytes),
         of("table calls of a full load", "1", "resources", table_calls),
         of("table reads of all pollers", "1/s", "domains", polls),
     ])
 }
 
-/// Teams and endpoints in the proportion of a large deployment.
-pub fn mix(resources: usize) -> (usize, usize) {
+/// Splits `resources` into teams and endpoints in the ratio of a large deployment.
+pub fn team_endpoint_split(resources: usize) -> (usize, usize) {
     let endpoints = resources * 4 / 35;
     (resources - endpoints, endpoints)
 }
 
-/// Bytes that a snapshot holds.
+/// Memory retained by a snapshot.
 pub fn snapshot_bytes(resources: usize) -> f64 {
-    let (teams, endpoints) = mix(resources);
+    let (teams, endpoints) = team_endpoint_split(resources);
     memory::retained(|| fleet::snapshot(teams, endpoints)).1
 }
 
-/// Reads a second that the pollers of all failure domains make.
+/// Table reads per second by the pollers of all failure domains.
 pub fn polls_per_second(domains: usize) -> Result<f64, Error> {
-    let (table, _) = committed(1)?;
-    let table = Counting::new(&table);
+    let (table, _) = populated_table(1)?;
+    let table = CountingTable::new(&table);
     let mut now = Instant::from_millis(1_000_000);
-    let mut groups: Vec<_> = (0..domains).map(Group::new).collect();
-    let mut step = |groups: &mut Vec<Group>, time: Duration| {
+    let mut groups: Vec<_> = (0..domains).map(DomainRouters::new).collect();
+    let mut step = |groups: &mut Vec<DomainRouters>, time: Duration| {
         let end = now + time;
         while now < end {
             now = now + TICK;
@@ -94,21 +94,21 @@
     };
     step(&mut groups, SETTLE);
     let before = table.reads();
-    step(&mut groups, COUNTED);
-    Ok((table.reads() - before) as f64 / COUNTED.as_secs_f64())
+    step(&mut groups, MEASURED);
+    Ok((table.reads() - before) as f64 / MEASURED.as_secs_f64())
 }
 
-/// Calls that a router without peers makes to load everything.
+/// Number of table calls for a full load by a router without peers.
 pub fn load_calls(table: &Instance) -> Result<u64, Error> {
-    let counting = Counting::new(table);
+    let counting = CountingTable::new(table);
     run(&counting, Load::new(0)).map_err(|error| Error::Call(error.to_string()))?;
     Ok(counting.reads())
 }
 
-/// A table in which so many teams and endpoints were declared, one by one,
-/// and the state that this led to.
-pub fn committed(resources: usize) -> Result<(Instance, State), Error> {
-    let (teams, endpoints) = mix(resources);
+/// Creates a table by declaring `resources` teams and endpoints one by one;
+/// returns it with the resulting state.
+pub fn populated_table(resources: usize) -> Result<(Instance, State), Error> {
+    let (teams, endpoints) = team_endpoint_split(resources);
     let table = unlimited_table()?;
     let mut state = State::default();
     let declared = (0..teams).map(fleet::team).chain((0..endpoints).map(fleet::endpoint));
@@ -118,7 +118,7 @@
     Ok((table, state))
 }
 
-/// Declares a resource; returns the state after it and its record.
+/// Declares a resource; returns the new state and the audit records.
 pub(super) fn commit(
     table: &Instance,
     state: State,
@@ -130,12 +130,12 @@
     Ok((progress.state, progress.records))
 }
 
-/// A table that refuses nothing for its rate.
+/// A table without rate limits.
 pub(super) fn unlimited_table() -> io::Result<Instance> {
     Instance::start(LOOPBACK, Rates { writes_per_second: 1e12, reads_per_second: 1e12 })
 }
 
-/// Bytes of a frame that carries records to a peer.
+/// Size in bytes of a frame that carries `reply` to a peer.
 pub(super) fn frame_bytes(reply: &Reply) -> Result<usize, Error> {
     let key = Key::new(1, *b"0123456789abcdef").expect("the secret is long enough");
     let frame = Frame {
@@ -162,7 +162,7 @@
     }
 }
 
-/// Bytes of all chunks that take a snapshot to a router that has nothing.
+/// Total bytes of the chunks that transfer a snapshot to an empty router.
 fn transfer(state: &State) -> Result<usize, Error> {
     let mut source = Replicator::new(fleet::name("router-1"));
     source.install_progress(&state.clone().into(), &[]);
@@ -179,7 +179,7 @@
 }
 
 fn micros_per_change(resources: usize) -> f64 {
-    let (teams, endpoints) = mix(resources);
+    let (teams, endpoints) = team_endpoint_split(resources);
     let snapshot = fleet::snapshot(teams, endpoints);
     let mut next = 0;
     cpu::micros_per_call(|| {
@@ -189,10 +189,10 @@
     })
 }
 
-/// Bytes that one more revision holds beside the one before.
-pub fn kept_bytes(resources: usize) -> f64 {
+/// Memory retained per additional revision, next to its predecessor.
+pub fn revision_bytes(resources: usize) -> f64 {
     const REVISIONS: usize = 100;
-    let (teams, endpoints) = mix(resources);
+    let (teams, endpoints) = team_endpoint_split(resources);
     let first = fleet::snapshot(teams, endpoints);
     let changed = || {
         let mut last = first.clone();
@@ -213,17 +213,17 @@
 }
 
 /// The routers of one failure domain.
-struct Group {
+struct DomainRouters {
     routers: Vec<(String, Replicator)>,
     rng: Pcg64Mcg,
 }
 
-impl Group {
+impl DomainRouters {
     fn new(domain: usize) -> Self {
         let router = |router| {
             let name = format!("router-{domain}-{router}");
-            let spread = Replicator::new(fleet::name(&name));
-            (name, spread)
+            let replicator = Replicator::new(fleet::name(&name));
+            (name, replicator)
         };
         let routers = (0..ROUTERS).map(router).collect();
         Self { routers, rng: Pcg64Mcg::seed_from_u64(domain as u64) }
@@ -232,14 +232,14 @@
     fn tick(&mut self, now: Instant, table: &dyn Table) {
         for index in 0..self.routers.len() {
             let peers = self.peers(index);
-            let spread = &mut self.routers[index].1;
-            for action in spread.tick(now, &peers, &mut self.rng) {
-                self.act(index, action, now, table);
+            let replicator = &mut self.routers[index].1;
+            for action in replicator.tick(now, &peers, &mut self.rng) {
+                self.perform(index, action, now, table);
             }
         }
     }
 
-    fn act(&mut self, index: usize, action: Action, now: Instant, table: &dyn Table) {
+    fn perform(&mut self, index: usize, action: Action, now: Instant, table: &dyn Table) {
         match action {
             Action::Poll(state) => {
                 let peers = self.peers(index);
@@ -250,7 +250,7 @@
                 let from = self.routers.iter().find(|(name, _)| name == peer.as_str());
                 let reply = from.expect("a router pulls from its peers").1.answer(&request);
                 for next in self.routers[index].1.on_reply(now, &peer, reply) {
-                    self.act(index, next, now, table);
+                    self.perform(index, next, now, table);
                 }
             }
             Action::Push(..) | Action::Alarm(_) => {}
@@ -259,23 +259,23 @@
 
     fn peers(&self, index: usize) -> Vec<Peer> {
         let others = self.routers.iter().enumerate().filter(|(other, _)| *other != index);
-        let peer = |(_, (name, spread)): (usize, &(String, Replicator))| Peer {
+        let peer = |(_, (name, replicator)): (usize, &(String, Replicator))| Peer {
             node: fleet::name(name),
             same_domain: true,
-            version: spread.store().version(),
-            polled: spread.polled(),
+            version: replicator.store().version(),
+            polled: replicator.polled(),
         };
         others.map(peer).collect()
     }
 }
 
-/// A table that counts the calls that read.
-struct Counting<'a> {
+/// A table that counts read calls.
+struct CountingTable<'a> {
     table: &'a Instance,
     reads: AtomicU64,
 }
 
-impl<'a> Counting<'a> {
+impl<'a> CountingTable<'a> {
     fn new(table: &'a Instance) -> Self {
         Self { table, reads: AtomicU64::new(0) }
     }
@@ -285,7 +285,7 @@
     }
 }
 
-impl Table for Counting<'_> {
+impl Table for CountingTable<'_> {
     fn commit(&self, transaction: &Transaction) -> Outcome<u64> {
         self.table.commit(transaction)
     }
--- a/mimosabench/src/slopes/cpu.rs
+++ b/mimosabench/src/slopes/cpu.rs
@@ -1,4 +1,4 @@
-//! Processor time of threads.
+//! CPU time of threads.
 
 use std::collections::HashMap;
 use std::fs;
@@ -6,10 +6,10 @@
 use std::io;
 use std::thread;
 
-/// Least processor time of a measurement, in nanoseconds.
+/// Minimum CPU time of a measurement, in nanoseconds.
 const MIN_NANOS: u64 = 60_000_000;
 
-/// Microseconds of processor time that one call takes, over enough calls.
+/// Mean CPU time per call in microseconds, over at least [`MIN_NANOS`].
 pub(super) fn micros_per_call<T>(mut call: impl FnMut() -> T) -> f64 {
     let mut calls = 1_u64;
     loop {
@@ -25,25 +25,27 @@
     }
 }
 
-/// Processor time that this thread has used.
+/// CPU time used by the current thread, in nanoseconds.
 pub(super) fn thread_nanos() -> u64 {
-    // The kernel brings the figure up to date when it switches threads.
+    // The kernel updates schedstat on a context switch.
     thread::yield_now();
     let text = fs::read_to_string("/proc/thread-self/schedstat");
-    text.ok().and_then(|text| first_number(&text)).expect("the kernel keeps schedstat")
+    text.ok().and_then(|text| first_number(&text)).expect("schedstat is unavailable")
 }
 
-/// Processor time of every thread of this process whose name passes, by
-/// thread.
-pub(super) fn nanos_by_thread(passes: impl Fn(&str) -> bool) -> io::Result<HashMap<u64, u64>> {
+/// CPU time in nanoseconds of every thread of this process whose name matches,
+/// by thread id.
+pub(super) fn nanos_by_thread(
+    matches_name: impl Fn(&str) -> bool,
+) -> io::Result<HashMap<u64, u64>> {
     let mut nanos = HashMap::new();
     for entry in fs::read_dir("/proc/self/task")? {
         let path = entry?.path();
-        // A thread may end while it is looked at.
+        // A thread may exit between listing and reading.
         let Ok(name) = fs::read_to_string(path.join("comm")) else { continue };
         let Ok(stat) = fs::read_to_string(path.join("schedstat")) else { continue };
         let id = path.file_name().and_then(|id| id.to_str()).and_then(|id| id.parse().ok());
-        if let (Some(id), Some(used), true) = (id, first_number(&stat), passes(name.trim())) {
+        if let (Some(id), Some(used), true) = (id, first_number(&stat), matches_name(name.trim())) {
             nanos.insert(id, used);
         }
     }
--- a/mimosabench/src/slopes/fleet.rs
+++ b/mimosabench/src/slopes/fleet.rs
@@ -16,10 +16,10 @@
 /// Kinds of accelerator.
 const KINDS: usize = 5;
 
-/// One-way link latencies, a hundredfold apart.
+/// One-way link latencies in microseconds, spanning a factor of 100.
 const LINK_US: [u32; 3] = [10, 100, 1_000];
 
-/// A name that is valid.
+/// Parses a generated name.
 pub fn name(text: &str) -> Name {
     Name::try_from(text).expect("generated names are valid")
 }
@@ -38,7 +38,7 @@
     resource(Kind::Team, &format!("team-{number:05}"), &body)
 }
 
-/// An engine with one of the stages.
+/// An engine endpoint that holds one stage.
 pub fn endpoint(number: usize) -> Resource {
     let stage_layers = LAYERS / STAGES;
     let start = number as u16 % STAGES * stage_layers;
@@ -58,7 +58,7 @@
     resource(Kind::Endpoint, &format!("engine-{number:04}"), &body)
 }
 
-/// The resources that teams and endpoints refer to.
+/// The priority and pipeline that teams and endpoints refer to.
 pub fn base() -> [Resource; 2] {
     [
         resource(Kind::Priority, "standard", &json!({"level": 1})),
@@ -66,7 +66,7 @@
     ]
 }
 
-/// A configuration of so many teams and endpoints.
+/// A configuration of `teams` teams and `endpoints` endpoints.
 pub fn snapshot(teams: usize, endpoints: usize) -> Snapshot {
     let all = base().into_iter().chain((0..teams).map(team));
     Snapshot::new(1, all.chain((0..endpoints).map(endpoint)))
--- a/mimosabench/src/slopes/health.rs
+++ b/mimosabench/src/slopes/health.rs
@@ -1,4 +1,4 @@
-//! State of endpoints.
+//! Cost of endpoint health tracking.
 
 use mimosashift::engine::Load;
 use mimosashift::health::{Registry, ReportBatch, Settings};
@@ -15,14 +15,14 @@
 const SIZES: [usize; 5] = [160, 800, 1_600, 2_800, 4_000];
 const NOW: Instant = Instant::from_millis(10_000);
 
-/// Time, memory and bytes by endpoints.
+/// Measures time, memory and report size by number of endpoints.
 pub fn measure() -> Vec<Series> {
     vec![
         series([ROLE, "state", "bytes", "endpoints"], &SIZES, |endpoints| {
             state_bytes(&fleet::snapshot(0, endpoints))
         }),
         series([ROLE, "all reports, shared", "bytes", "endpoints"], &SIZES, |endpoints| {
-            share_bytes(endpoints) as f64
+            report_bytes(endpoints) as f64
         }),
         series([ROLE, "all polls taken in", "µs", "endpoints"], &SIZES, |endpoints| {
             let snapshot = fleet::snapshot(0, endpoints);
@@ -31,9 +31,9 @@
         }),
         series([ROLE, "all reports merged", "µs", "endpoints"], &SIZES, |endpoints| {
             let snapshot = fleet::snapshot(0, endpoints);
-            let share = polled(&snapshot, NOW).reports_since(Instant::ZERO);
+            let reports = polled(&snapshot, NOW).reports_since(Instant::ZERO);
             let mut registry = install(&snapshot);
-            cpu::micros_per_call(|| registry.merge(&share, NOW))
+            cpu::micros_per_call(|| registry.merge(&reports, NOW))
         }),
         series([ROLE, "sweep", "µs", "endpoints"], &SIZES, |endpoints| {
             let mut registry = polled(&fleet::snapshot(0, endpoints), NOW);
@@ -49,16 +49,16 @@
     ]
 }
 
-/// Bytes that the state of a configuration's endpoints holds.
+/// Memory retained by the health state of a configuration's endpoints.
 pub fn state_bytes(snapshot: &Snapshot) -> f64 {
     memory::retained(|| polled(snapshot, NOW)).1
 }
 
-/// Bytes of one report on each endpoint.
-pub fn share_bytes(endpoints: usize) -> usize {
-    let share: ReportBatch =
+/// Encoded size in bytes of one report per endpoint.
+pub fn report_bytes(endpoints: usize) -> usize {
+    let reports: ReportBatch =
         polled(&fleet::snapshot(0, endpoints), NOW).reports_since(Instant::ZERO);
-    postcard::to_stdvec(&share).expect("reports can be encoded").len()
+    postcard::to_stdvec(&reports).expect("health reports are serializable").len()
 }
 
 fn install(snapshot: &Snapshot) -> Registry {
--- a/mimosabench/src/slopes/membership.rs
+++ b/mimosabench/src/slopes/membership.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between routers, in virtual time.
+//! Cost of heartbeats between routers, in virtual time.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -18,50 +18,50 @@
 const ROLE: &str = "membership";
 const ROUTERS: [usize; 5] = [4, 44, 110, 220, 370];
 
-/// Virtual time of one step.
+/// Virtual duration of one step.
 const STEP: Duration = Duration::from_millis(50);
 
-/// Steps in which a cluster finds itself.
+/// Warm-up steps until all routers have discovered each other.
 const SETTLE_STEPS: usize = 600;
 
-/// Steps that are measured.
+/// Number of measured steps.
 const MEASURED_STEPS: usize = 400;
 
 /// Bytes of the IP and UDP headers of a datagram.
 const HEADER_BYTES: usize = 28;
 
-/// Bytes of reports of other parts in each heartbeat.
+/// Payload bytes of other components' reports in each heartbeat.
 const REPORT_BYTES: usize = 64;
 
-/// Most bytes of reports that a heartbeat of the node carries.
+/// Maximum report bytes in a heartbeat of the node.
 pub const MAX_REPORT_BYTES: usize = 480;
 
-/// What one router spends on heartbeats.
+/// Cost of heartbeats per router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cost {
-    /// Bytes a second, sent and received, of the mean router.
+    /// Bytes per second sent and received, mean over all routers.
     pub mean_bytes: f64,
-    /// Bytes a second, sent and received, of the busiest router.
-    pub most_bytes: f64,
-    /// Datagrams a second, sent and received, of the mean router.
+    /// Bytes per second sent and received by the busiest router.
+    pub max_bytes: f64,
+    /// Datagrams per second sent and received, mean over all routers.
     pub messages: f64,
-    /// Microseconds of processor time a second of the mean router, sealing
-    /// and opening included, sockets not.
+    /// CPU time in microseconds per second, mean over all routers, including
+    /// sealing and opening frames but not sockets.
     pub micros: f64,
-    /// Bytes of memory of the mean router.
+    /// Memory in bytes, mean over all routers.
     pub memory: f64,
 }
 
-/// What the mean router knows and probes.
+/// Distribution of endpoint probes over routers, as means per router.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Division {
-    /// Other routers that count as alive.
+pub struct ProbeDivision {
+    /// Other routers considered alive.
     pub alive: f64,
-    /// Endpoints that it probes in each round.
+    /// Endpoints probed in each round.
     pub probes: f64,
 }
 
-/// Cost by routers.
+/// Measures the cost by number of routers.
 pub fn measure() -> Vec<Series> {
     let all = |report_bytes| -> Vec<_> {
         ROUTERS.iter().map(|&n| (n, cost(n, domains_of(n), report_bytes))).collect()
@@ -73,7 +73,7 @@
     };
     vec![
         series("heartbeats, mean router", "bytes/s", |cost| cost.mean_bytes),
-        series("heartbeats, busiest router", "bytes/s", |cost| cost.most_bytes),
+        series("heartbeats, busiest router", "bytes/s", |cost| cost.max_bytes),
         Series {
             role: ROLE,
             quantity: "heartbeats full of reports, mean router",
@@ -87,10 +87,10 @@
     ]
 }
 
-/// What each of `routers` routers spends with `report_bytes` of reports in
-/// each heartbeat.
+/// Heartbeat cost per router in a cluster of `routers` routers, with `report_bytes`
+/// of reports in each heartbeat.
 pub fn cost(routers: usize, domains: usize, report_bytes: usize) -> Cost {
-    let (mut cluster, made) = memory::counted(|| {
+    let (mut cluster, allocations) = memory::counted(|| {
         let mut cluster = Cluster::new(routers, domains, report_bytes);
         cluster.run(SETTLE_STEPS);
         cluster.in_flight.clear();
@@ -104,18 +104,18 @@
     let seconds = (STEP * MEASURED_STEPS as u32).as_secs_f64();
     let per_node = |total: f64| total / routers as f64;
     let sum = |of: fn(&Node) -> usize| cluster.nodes.iter().map(of).sum::<usize>() as f64;
-    let most = cluster.nodes.iter().map(|node| node.bytes).max().unwrap_or_default();
+    let max_bytes = cluster.nodes.iter().map(|node| node.bytes).max().unwrap_or_default();
     Cost {
         mean_bytes: per_node(sum(|node| node.bytes)) / seconds,
-        most_bytes: most as f64 / seconds,
+        max_bytes: max_bytes as f64 / seconds,
         messages: per_node(sum(|node| node.messages)) / seconds,
         micros: per_node(micros) / seconds,
-        memory: per_node(made.retained as f64),
+        memory: per_node(allocations.retained as f64),
     }
 }
 
-/// How `routers` divide the probes of `endpoints` among them.
-pub fn division(routers: usize, domains: usize, endpoints: usize) -> Division {
+/// Measures how `routers` routers divide the probes of `endpoints` endpoints.
+pub fn probe_division(routers: usize, domains: usize, endpoints: usize) -> ProbeDivision {
     let mut cluster = Cluster::new(routers, domains, 0);
     cluster.run(SETTLE_STEPS);
     let all: Vec<_> = (0..endpoints)
@@ -135,10 +135,10 @@
         probes += all.iter().filter(mine).count();
     }
     let per_node = |count: usize| count as f64 / routers as f64;
-    Division { alive: per_node(alive), probes: per_node(probes) }
+    ProbeDivision { alive: per_node(alive), probes: per_node(probes) }
 }
 
-/// Bytes of the datagram that carries a message, headers included.
+/// Size in bytes of the datagram that carries `message`, including headers.
 pub fn datagram_bytes(message: Message) -> usize {
     let frame = Frame {
         sender: fleet::name("router-100"),
@@ -161,14 +161,14 @@
 
 struct Node {
     membership: Membership,
-    seen: ReplayFilter,
+    replay_filter: ReplayFilter,
     sequence: u64,
     bytes: usize,
     messages: usize,
     rng: Pcg64Mcg,
 }
 
-/// All routers, driven in one loop; a datagram takes one step.
+/// Simulated cluster driven in one loop; a datagram arrives in the next step.
 struct Cluster {
     now: Instant,
     nodes: Vec<Node>,
@@ -192,7 +192,7 @@
             };
             Node {
                 membership: Membership::new(own, &addresses),
-                seen: ReplayFilter::default(),
+                replay_filter: ReplayFilter::default(),
                 sequence: 0,
                 bytes: 0,
                 messages: 0,
@@ -241,7 +241,7 @@
         let frame = opened.expect("a sealed frame can be opened");
         let node = &mut self.nodes[to];
         node.count(bytes);
-        let is_new = node.seen.accept(&frame.sender, frame.incarnation, frame.sequence);
+        let is_new = node.replay_filter.accept(&frame.sender, frame.incarnation, frame.sequence);
         if let (true, Message::Heartbeat(heartbeat)) = (is_new, frame.message) {
             node.membership.on_heartbeat(self.now, heartbeat);
         }
--- a/mimosabench/src/slopes/metrics.rs
+++ b/mimosabench/src/slopes/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics.
+//! Cost of metrics.
 
 use std::hint::black_box;
 
@@ -9,15 +9,15 @@
 use super::{Series, cpu, memory};
 
 const ROLE: &str = "metrics";
-const ROUNDS: [usize; 4] = [10, 20, 30, 38];
+const SERIES_COUNTS: [usize; 4] = [10, 20, 30, 38];
 
 /// Records one value of each of the first `count` series.
 fn recorded(count: usize) -> Meter {
     let meter = Meter::new().expect("the metrics can be registered");
-    let mut left = count;
+    let mut remaining = count;
     let mut next = || {
-        let is_due = left > 0;
-        left = left.saturating_sub(1);
+        let is_due = remaining > 0;
+        remaining = remaining.saturating_sub(1);
         is_due
     };
     let durations = [Meter::first_token, Meter::inter_token, Meter::added_latency];
@@ -33,30 +33,32 @@
     meter
 }
 
-/// Cost of a scrape and of a recorded value by series.
+/// Measures the cost of a scrape and of recording a value by number of series.
 pub fn measure() -> Vec<Series> {
     vec![
-        series([ROLE, "scrape", "bytes", "series"], &ROUNDS, |count| scrape_bytes(count) as f64),
-        series([ROLE, "scrape", "µs", "series"], &ROUNDS, |count| {
+        series([ROLE, "scrape", "bytes", "series"], &SERIES_COUNTS, |count| {
+            scrape_bytes(count) as f64
+        }),
+        series([ROLE, "scrape", "µs", "series"], &SERIES_COUNTS, |count| {
             let meter = recorded(count);
             cpu::micros_per_call(|| meter.render())
         }),
-        series([ROLE, "state", "bytes", "series"], &ROUNDS, |count| {
+        series([ROLE, "state", "bytes", "series"], &SERIES_COUNTS, |count| {
             memory::retained(|| recorded(count)).1
         }),
-        series([ROLE, "value recorded", "µs", "series"], &ROUNDS, |count| {
+        series([ROLE, "value recorded", "µs", "series"], &SERIES_COUNTS, |count| {
             let meter = recorded(count);
             cpu::micros_per_call(|| meter.inter_token(black_box(0.01)))
         }),
     ]
 }
 
-/// Bytes that the metrics hold before anything is recorded.
+/// Memory retained by the metrics before any value is recorded.
 pub fn state_bytes() -> f64 {
     memory::retained(|| recorded(0)).1
 }
 
-/// Bytes of a scrape with so many series recorded.
+/// Size in bytes of a scrape with `count` recorded series.
 pub fn scrape_bytes(count: usize) -> usize {
     recorded(count).render().expect("the metrics can be rendered").len()
 }
--- a/mimosabench/src/slopes/mod.rs
+++ b/mimosabench/src/slopes/mod.rs
@@ -1,8 +1,8 @@
-//! Cost of each role of a router against the size of what it handles.
+//! Resource cost of each router role as a function of deployment size.
 //!
-//! Every role is measured at several sizes with the library's own code, and a
-//! line is fitted. `docs/CAPACITY.md` works out from these lines what a large
-//! deployment costs.
+//! Each role is measured at several sizes using the library code, and a line is
+//! fitted. `docs/CAPACITY.md` derives the cost of a large deployment from these
+//! lines.
 
 use std::io;
 
@@ -32,25 +32,25 @@
 pub use text::{to_markdown, to_text};
 
 quick_error! {
-    /// Why the slopes could not be measured or written.
+    /// Failure to measure or write the slopes.
     #[derive(Debug)]
     #[allow(missing_docs)] // The macro takes no comments on fields.
     pub enum Error {
-        /// A file or socket could not be used.
+        /// I/O on a file or socket failed.
         Io(error: io::Error) {
             from()
             display("{}", error)
         }
-        /// The router under measurement did not start.
+        /// The router under test did not start.
         Router(error: mimosashift::node::Error) {
             from()
             display("cannot start a router: {}", error)
         }
-        /// A call that the measurement needs was not answered as it must be.
+        /// A call made by the benchmark failed or returned an unexpected response.
         Call(reason: String) {
             display("{}", reason)
         }
-        /// The page has no block to write to.
+        /// The page has no block to replace.
         Page(path: String) {
             display("{:?} does not hold one block between the markers {} and {}", path, page::BEGIN, page::END)
         }
@@ -60,7 +60,7 @@
 /// Measures one role.
 type Measure = fn() -> Result<Vec<Series>, Error>;
 
-/// The roles by name.
+/// Benchmarks by role name.
 const ROLES: [(&str, Measure); 11] = [
     ("caller", caller::measure),
     ("choice", || Ok(choice::measure())),
@@ -75,7 +75,7 @@
     ("metrics", || Ok(metrics::measure())),
 ];
 
-/// Measures every role, or the one of a name.
+/// Measures every role, or only the named one.
 pub fn measure(role: Option<&str>) -> Result<Vec<Series>, Error> {
     let mut all = Vec::new();
     for (name, measure) in ROLES {
--- a/mimosabench/src/slopes/page.rs
+++ b/mimosabench/src/slopes/page.rs
@@ -1,17 +1,17 @@
-//! The measured block of a page.
+//! Replaces the generated block of a documentation page.
 
 use std::fs;
 use std::path::Path;
 
 use super::{Error, Series, to_markdown};
 
-/// Line before the block.
+/// Marker before the block.
 pub const BEGIN: &str = "<!-- slopes:begin -->";
 
-/// Line after the block.
+/// Marker after the block.
 pub const END: &str = "<!-- slopes:end -->";
 
-/// Command that writes the block.
+/// Command shown in the block that regenerates it.
 const COMMAND: &str = "cargo run --release -p mimosabench -- slopes --write docs/CAPACITY.md";
 
 /// Replaces the block of the page at `path`.
@@ -23,7 +23,7 @@
     Ok(())
 }
 
-/// The page with another table in its block; `None` when it has no block.
+/// Returns the page with `table` in its block, or `None` if it has no block.
 pub fn replace(page: &str, table: &str) -> Option<String> {
     let (before, rest) = page.split_once(BEGIN)?;
     let (_, after) = rest.split_once(END)?;
--- a/mimosabench/src/slopes/placement.rs
+++ b/mimosabench/src/slopes/placement.rs
@@ -1,4 +1,4 @@
-//! Orders and the placement of copies.
+//! Cost of planning and placing model copies.
 
 use mimosashift::order::Target;
 use mimosashift::order::dispatch::OrderQueue;
@@ -12,13 +12,13 @@
 const RANGES: [usize; 5] = [4, 16, 64, 128, 256];
 const ENDPOINTS: [usize; 4] = [160, 800, 2_000, 4_000];
 
-/// Loads ordered at a time.
+/// Maximum number of loads per plan.
 const MAX_LOADS: usize = 8;
 
-/// Bytes of a stage's weights.
+/// Size of the weights of a stage in bytes.
 const STAGE_BYTES: u64 = 20 << 30;
 
-/// Time of a plan by layer ranges and of a host by endpoints.
+/// Measures the time of a plan by layer ranges and of choosing a host by endpoints.
 pub fn measure() -> Vec<Series> {
     vec![
         series([ROLE, "plan of 8 loads", "µs", "layer ranges"], &RANGES, |ranges| {
@@ -30,7 +30,7 @@
             cpu::micros_per_call(|| choose_endpoint(&candidates, STAGE_BYTES))
         }),
         series([ROLE, "open orders, one each", "bytes", "endpoints"], &ENDPOINTS, |endpoints| {
-            memory::retained(|| (0..endpoints).map(|_| dispatch()).collect::<Vec<_>>()).1
+            memory::retained(|| (0..endpoints).map(|_| order_queue()).collect::<Vec<_>>()).1
         }),
     ]
 }
@@ -48,13 +48,9 @@
     }
 }
 
-fn dispatch() -> OrderQueue {
+fn order_queue() -> OrderQueue {
     let layers = Layers::try_from((0, 20)).expect("the range has layers");
-    let mut dispatch = OrderQueue::new(true);
-    dispatch.enqueue(Target::Load(ModelLayers {
-        pipeline: fleet::name("model"),
-        version: 1,
-        layers,
-    }));
-    dispatch
+    let mut queue = OrderQueue::new(true);
+    queue.enqueue(Target::Load(ModelLayers { pipeline: fleet::name("model"), version: 1, layers }));
+    queue
 }
--- a/mimosabench/src/slopes/posting.rs
+++ b/mimosabench/src/slopes/posting.rs
@@ -1,4 +1,5 @@
-//! Postings: claims and records in grouped transactions.
+//! Cost of postings, whose claims and records are written in batched
+//! transactions.
 
 use mimosashift::platform::{Outcome, Transaction};
 use mimosashift::posting::batch::{BatchMember, LINGER, Queue};
@@ -15,10 +16,10 @@
 const IN_FLIGHT: [usize; 4] = [16, 64, 256, 1_024];
 const NOW: Instant = Instant::from_millis(1);
 
-/// Bytes of a service's answer.
+/// Size of a service's response body in bytes.
 const ANSWER_BYTES: usize = 256;
 
-/// Costs by members of a batch and by postings in flight.
+/// Measures the cost by batch size and by postings in flight.
 pub fn measure() -> Vec<Series> {
     vec![
         series(
@@ -40,16 +41,16 @@
     ]
 }
 
-/// What postings cost the platform.
+/// Platform writes made for a set of postings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
-    /// Grouped transactions, one write each for the platform.
+    /// Number of batched transactions; each is one platform write.
     pub transactions: usize,
-    /// Bytes of all transactions as JSON.
+    /// Total size of the transactions as JSON, in bytes.
     pub bytes: usize,
 }
 
-/// Claims, sends and records so many postings that come at once.
+/// Claims, sends and records `count` simultaneous postings.
 pub fn run(count: usize) -> Cost {
     let (mut machines, claims): (Vec<_>, Vec<_>) = (0..count).map(start).unzip();
     let mut cost = Cost::default();
@@ -61,7 +62,7 @@
     cost
 }
 
-/// Commits one write of each machine in batches and hands the outcomes back.
+/// Commits one write per state machine in batches and passes back the outcomes.
 fn commit(machines: &mut [Machine], actions: Vec<Actions>, cost: &mut Cost) {
     let mut queue = Queue::default();
     for (tag, actions) in actions.into_iter().enumerate() {
--- a/mimosabench/src/slopes/relay.rs
+++ b/mimosabench/src/slopes/relay.rs
@@ -1,5 +1,5 @@
-//! The token relay: the pipeline's machine and the coding of its steps,
-//! without sockets.
+//! Cost of the token relay: the pipeline state machine and the encoding of its
+//! steps, without sockets.
 
 use std::time::Duration;
 
@@ -21,16 +21,16 @@
 const HIDDEN_BYTES: [usize; 5] = [1_024, 4_096, 8_192, 16_384, 32_768];
 const PROMPTS: [usize; 4] = [64, 256, 1_024, 4_096];
 
-/// Hidden bytes of a model in the middle of those served.
-const USUAL_HIDDEN_BYTES: usize = 8_192;
+/// Activation bytes per token of a mid-sized model.
+const TYPICAL_HIDDEN_BYTES: usize = 8_192;
 
-/// Tokens of one answer.
+/// Number of tokens in one answer.
 const TOKENS: u32 = 256;
 
-/// Time that a step takes.
-const STEP: Duration = Duration::from_millis(6);
+/// Virtual duration of a step.
+const STEP_TIME: Duration = Duration::from_millis(6);
 
-/// Time of a step, and what a request in flight holds.
+/// Measures the cost of a step and the memory of a request in flight.
 pub fn measure() -> Vec<Series> {
     vec![
         series(
@@ -42,16 +42,16 @@
             run(512, TOKENS, hidden).wire_bytes as f64 / f64::from(steps(TOKENS))
         }),
         series([ROLE, "request in flight", "bytes", "prompt tokens"], &PROMPTS, |prompt| {
-            memory::retained(|| run(prompt, TOKENS / 2, USUAL_HIDDEN_BYTES)).1
+            memory::retained(|| run(prompt, TOKENS / 2, TYPICAL_HIDDEN_BYTES)).1
         }),
     ]
 }
 
-/// What a request came to.
-struct Run {
-    /// Bytes of headers and bodies sent, the prompt's included.
+/// Result of a simulated request.
+struct RequestResult {
+    /// Bytes of headers and bodies sent, including the prompt.
     wire_bytes: usize,
-    /// Kept so that what it holds is counted.
+    /// Kept alive so that its memory is counted.
     _machine: Machine,
 }
 
@@ -60,7 +60,7 @@
 }
 
 /// Runs a request until it has emitted `tokens` tokens.
-fn run(prompt: usize, tokens: u32, hidden: usize) -> Run {
+fn run(prompt: usize, tokens: u32, hidden: usize) -> RequestResult {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut now = Instant::from_millis(1);
     let mut budget = Budget::new(BudgetSettings::default(), now);
@@ -70,28 +70,28 @@
     let mut wire_bytes = 0;
     let mut emitted = 0;
     while emitted < tokens {
-        let (endpoint, step) = sent(actions);
+        let (endpoint, step) = sent_step(actions);
         let (header, body) = encode(&step);
         wire_bytes += header.len() + body.len();
-        // The answer has the same labels and is read the same way.
+        // An answer carries the same label and is decoded in the same way.
         let answer = decode(&header, &body).expect("an encoded step can be decoded");
         let last = answer.label.layers.end() == fleet::LAYERS;
         let output = if last { Output::Token(1) } else { Output::Hidden(vec![1; hidden]) };
-        now = now + STEP;
+        now = now + STEP_TIME;
         let mut ctx = Context { now, rng: &mut rng, budget: &mut budget };
         let reply = Reply { label: answer.label, output };
         actions = machine.on_reply(&mut ctx, &endpoint, reply);
         emitted += u32::from(last);
     }
-    Run { wire_bytes, _machine: machine }
+    RequestResult { wire_bytes, _machine: machine }
 }
 
-fn sent(actions: Actions) -> (mimosashift::resource::Name, Step) {
+fn sent_step(actions: Actions) -> (mimosashift::resource::Name, Step) {
     let send = actions.into_iter().find_map(|action| match action {
         Action::Send { endpoint, step, .. } => Some((endpoint, step)),
         _ => None,
     });
-    send.expect("a request that is not over has a step to send")
+    send.expect("an unfinished request has a step to send")
 }
 
 fn request(prompt: usize) -> Request {
@@ -114,7 +114,7 @@
         Stage { endpoint: fleet::name(&format!("engine-{stage:04}")), layers }
     };
     let stages = (0..fleet::STAGES).map(stage);
-    Chain::new(fleet::name("model"), 1, fleet::LAYERS, stages).expect("the stages join")
+    Chain::new(fleet::name("model"), 1, fleet::LAYERS, stages).expect("the stages are contiguous")
 }
 
 fn cost() -> Cost {
--- a/mimosabench/src/slopes/series.rs
+++ b/mimosabench/src/slopes/series.rs
@@ -1,4 +1,4 @@
-//! One quantity measured at several sizes.
+//! Series of measurements of one quantity.
 
 use super::Line;
 
@@ -7,18 +7,18 @@
 pub struct Series {
     /// Role of the router.
     pub role: &'static str,
-    /// What was measured.
+    /// Name of the measured quantity.
     pub quantity: &'static str,
     /// Unit of the values.
     pub unit: &'static str,
-    /// What the sizes count.
+    /// Name of the size dimension.
     pub size: &'static str,
-    /// Sizes and values.
+    /// Pairs of size and value.
     pub points: Vec<(f64, f64)>,
 }
 
 impl Series {
-    /// The line through the points.
+    /// Line fitted to the points.
     pub fn line(&self) -> Line {
         Line::fit(&self.points)
     }
--- a/mimosabench/src/slopes/text.rs
+++ b/mimosabench/src/slopes/text.rs
@@ -1,8 +1,8 @@
-//! Tables of measured series.
+//! Formats measured series as tables.
 
 use super::Series;
 
-/// A table for the terminal.
+/// Formats a table for the terminal.
 pub fn to_text(all: &[Series]) -> String {
     let row = |series: &Series| {
         let line = series.line();
@@ -26,7 +26,7 @@
     head + &all.iter().map(row).collect::<String>()
 }
 
-/// A table for a page.
+/// Formats a Markdown table.
 pub fn to_markdown(all: &[Series]) -> String {
     let row = |series: &Series| {
         let line = series.line();
@@ -52,7 +52,7 @@
     series.points.iter().map(point).collect::<Vec<_>>().join(", ")
 }
 
-/// Four significant digits, without an exponent.
+/// Formats a value with four significant digits and without an exponent.
 fn number(value: f64) -> String {
     let magnitude = if value == 0.0 { 0.0 } else { value.abs().log10().floor() };
     let decimals = (3.0 - magnitude).clamp(0.0, 6.0) as usize;
--- a/mimosabench/tests/policy.rs
+++ b/mimosabench/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Short runs of the policy measures, with the targets as bounds.
+//! Short policy benchmark runs that must meet the throughput and recovery targets.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 const SCALE: Scale = Scale { replicas: 12, measured: Duration::from_secs(10), seed: 1 };
 
-/// The mix with shorter answers and a shorter time until its load is steady.
+/// Shortens the answers and the warm-up of a mix to keep test runs short.
 fn short(mix: Mix) -> Mix {
     let answer = (mix.answer.0.min(40), mix.answer.1.min(80));
     Mix { answer, warm_up: Duration::from_secs(15), ..mix }
@@ -16,13 +16,13 @@
 fn check_served(mix: Mix, load: f64) {
     let row = measure::throughput(SCALE, &short(mix), load, Policy::Library);
     assert!(row.tally.violations.is_empty(), "{:?}", row.tally.violations);
-    assert!(row.served >= SERVED_TARGET, "{:.3} of the offered load served", row.served);
+    assert!(row.served >= SERVED_TARGET, "served {:.3} of the offered load", row.served);
 }
 
 fn check_overload(mix: Mix) {
     let row = measure::throughput(SCALE, &short(mix), 1.2, Policy::Library);
     assert!(row.tally.violations.is_empty(), "{:?}", row.tally.violations);
-    assert!(row.of_bound >= OVERLOAD_TARGET, "{:.3} of the bound served", row.of_bound);
+    assert!(row.of_bound >= OVERLOAD_TARGET, "served {:.3} of the bound", row.of_bound);
 }
 
 fn check_recovery(mix: Mix, fault: Fault) {
@@ -30,10 +30,14 @@
     assert!(row.tally.violations.is_empty(), "{:?}", row.tally.violations);
     assert_eq!(row.lost, 0, "requests lost: {:?}", row.tally.lost);
     let target = Recovery::target(fault);
-    assert!(row.flow.is_some_and(|time| time <= target), "flow is back after {:?}", row.flow);
+    assert!(
+        row.flow.is_some_and(|time| time <= target),
+        "token throughput recovered after {:?}",
+        row.flow
+    );
 }
 
-macro_rules! cases {
+macro_rules! policy_tests {
     ($($name:ident => $check:expr;)*) => {
         $(#[test]
         fn $name() {
@@ -42,7 +46,7 @@
     };
 }
 
-cases! {
+policy_tests! {
     board_is_served_at_half_load => check_served(BOARD, 0.5);
     board_is_served_near_the_bound => check_served(BOARD, 0.95);
     board_keeps_the_bound_in_overload => check_overload(BOARD);
@@ -64,7 +68,7 @@
 }
 
 #[test]
-fn runs_repeat_exactly() {
+fn runs_are_deterministic() {
     let row = || measure::throughput(SCALE, &short(AKSU), 0.8, Policy::Library);
     let (first, second) = (row(), row());
     assert_eq!(first.tally.flow, second.tally.flow);
@@ -72,8 +76,8 @@
 }
 
 #[test]
-fn baseline_breaks_the_rule_on_leaving_endpoints() {
+fn baseline_sends_new_work_to_leaving_endpoints() {
     let row = measure::recovery(SCALE, &short(AKSU), Fault::Leave, Policy::Naive);
-    let first = row.tally.violations.first().expect("replicas in turn include those that leave");
+    let first = row.tally.violations.first().expect("round-robin includes leaving replicas");
     assert!(first.starts_with("new work for a leaving endpoint"), "{first}");
 }
